--- a/coordinator/src/main/java/burlford/Main.java
+++ b/coordinator/src/main/java/burlford/Main.java
@@ -1,10 +1,10 @@
 package burlford;
 
-import burlford.adapter.SimHost;
+import burlford.adapter.SimulatorHost;
 import burlford.daemon.Configuration;
 import burlford.daemon.Daemon;
 import burlford.inventory.Inventory;
-import burlford.settings.BadInput;
+import burlford.settings.InputFormatException;
 import burlford.store.StoreCommand;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -48,13 +48,14 @@
             } else if (command.equals("serve --operator") && args.length == 3) {
                 Daemon.run(System.getenv(), Path.of(args[2]));
             } else if (command.equals("adapter")) {
-                new SimHost().run(new BufferedInputStream(System.in, 1 << 16),
+                new SimulatorHost().run(new BufferedInputStream(System.in, 1 << 16),
                         new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
             } else if (command.equals("inventory check") && args.length == 3) {
-                System.out.println(Inventory.load(Path.of(args[2]), Inventory.ANY_CELLS).hosts().size() + " readers");
+                System.out.println(Inventory.load(Path.of(args[2]), Inventory.MAX_CELLS).hosts().size() + " readers");
             } else if (command.equals("inventory convert") && args.length == 4) {
                 Path to = Path.of(args[3]);
-                Files.writeString(to, Inventory.load(Path.of(args[2]), Inventory.ANY_CELLS).write(Inventory.isCsv(to)));
+                Files.writeString(to, Inventory.load(Path.of(args[2]), Inventory.MAX_CELLS)
+                        .format(Inventory.isCsv(to)));
             } else if (command.equals("store status") && args.length == 3) {
                 return StoreCommand.get(args[2], "/store");
             } else if (command.equals("store get") && args.length == 4) {
@@ -66,10 +67,10 @@
                 return 2;
             }
             return 0;
-        } catch (Configuration.Bad | Inventory.Bad e) {
+        } catch (Configuration.InvalidConfigurationException | Inventory.InvalidInventoryException e) {
             System.err.println("burlford: " + e.getMessage());
             return 2;
-        } catch (BadInput e) {
+        } catch (InputFormatException e) {
             System.err.println("burlford: bad input: " + e.getMessage());
             return 1;
         } catch (IOException e) {
--- a/coordinator/src/main/java/burlford/adapter/Wire.java
+++ b/coordinator/src/main/java/burlford/adapter/SimulatorCodec.java
@@ -1,7 +1,7 @@
 package burlford.adapter;
 
 import burlford.policy.Aggregator;
-import burlford.settings.BadInput;
+import burlford.settings.InputFormatException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** The codec of the simulator's wire: frames in, frames out. */
-final class Wire {
+final class SimulatorCodec {
 
     static final int EVENT = 40;
     static final int ACTION = 16;
@@ -23,24 +23,24 @@
     private static final int LONGEST = 1 << 30;
     private static final int BANKS = 16;
 
-    private final List<List<Aggregator.Listed>> banks = new ArrayList<>();
+    private final List<List<Aggregator.ListEntry>> banks = new ArrayList<>();
 
-    Wire() {
+    SimulatorCodec() {
         for (int i = 0; i < BANKS; i++) {
             banks.add(null);
         }
     }
 
     /** What the host hears: an instance starts, stops or has an event. */
-    sealed interface Item permits Started, Stopped, Happened { }
+    sealed interface InputRecord permits InstanceStarted, InstanceStopped, InstanceEvent { }
 
-    record Started(int instance, long seed, String settings) implements Item { }
+    record InstanceStarted(int instance, long seed, String settings) implements InputRecord { }
 
-    record Stopped(int instance) implements Item { }
+    record InstanceStopped(int instance) implements InputRecord { }
 
-    record Happened(int instance, int reportLength, Aggregator.Event event) implements Item { }
+    record InstanceEvent(int instance, int reportLength, Aggregator.Event event) implements InputRecord { }
 
-    record Batch(long clock, long number, List<Item> items) { }
+    record Batch(long clock, long number, List<InputRecord> records) { }
 
     /** Reads one batch, or null at the end of input. */
     Batch read(InputStream in) throws IOException {
@@ -49,20 +49,20 @@
             return null;
         }
         if (head.length < IN_HEADER) {
-            throw new BadInput("truncated batch header: " + head.length + " of " + IN_HEADER + " bytes");
+            throw new InputFormatException("truncated batch header: " + head.length + " of " + IN_HEADER + " bytes");
         }
         ByteBuffer h = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
         long length = Integer.toUnsignedLong(h.getInt(0));
         long records = Integer.toUnsignedLong(h.getInt(12));
         if (length > LONGEST) {
-            throw new BadInput("oversized batch: " + length + " bytes");
+            throw new InputFormatException("oversized batch: " + length + " bytes");
         }
         if (records * EVENT > length) {
-            throw new BadInput("batch of " + length + " bytes cannot hold " + records + " records");
+            throw new InputFormatException("batch of " + length + " bytes cannot hold " + records + " records");
         }
         byte[] body = in.readNBytes((int) length);
         if (body.length < length) {
-            throw new BadInput("truncated batch: " + body.length + " of " + length + " bytes");
+            throw new InputFormatException("truncated batch: " + body.length + " of " + length + " bytes");
         }
         return decode(h.getLong(4), Integer.toUnsignedLong(h.getInt(16)), (int) records, body);
     }
@@ -70,7 +70,7 @@
     private Batch decode(long clock, long number, int records, byte[] body) {
         ByteBuffer b = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
         int tail = records * EVENT;
-        List<Item> items = new ArrayList<>(records);
+        List<InputRecord> items = new ArrayList<>(records);
         int instance = -1;
         for (int r = 0; r < records; r++) {
             int at = r * EVENT;
@@ -84,21 +84,21 @@
                 continue;
             }
             if (instance < 0) {
-                throw new BadInput("record " + r + " (code " + code + ") names no instance");
+                throw new InputFormatException("record " + r + " (code " + code + ") names no instance");
             }
             items.add(item(b, at, code, instance, tail, r));
         }
         return new Batch(clock, number, items);
     }
 
-    private Item item(ByteBuffer b, int at, int code, int instance, int tail, int r) {
+    private InputRecord item(ByteBuffer b, int at, int code, int instance, int tail, int r) {
         Aggregator.Event event;
         int reports = 0;
         switch (code) {
             case 0:
-                return new Started(instance, b.getLong(at + 1), text(b, at + 9, tail));
+                return new InstanceStarted(instance, b.getLong(at + 1), text(b, at + 9, tail));
             case 9:
-                return new Stopped(instance);
+                return new InstanceStopped(instance);
             case 1:
                 event = replicas(b, at);
                 break;
@@ -107,7 +107,7 @@
                 break;
             case 4:
                 reports = reportLength(b, at + 19);
-                event = new Aggregator.AttemptEnd(id(b, at + 1), b.get(at + 5) & 0xff, node(b, at + 6),
+                event = new Aggregator.AttemptEnded(id(b, at + 1), b.get(at + 5) & 0xff, node(b, at + 6),
                         outcome(b.getShort(at + 12) & 0xffff), id(b, at + 14), b.get(at + 18) != 0,
                         report(b, at + 19, reports));
                 break;
@@ -119,16 +119,16 @@
                 break;
             case 7:
                 reports = reportLength(b, at + 13);
-                event = new Aggregator.Probed(node(b, at + 3), outcome(b.getShort(at + 1) & 0xffff), id(b, at + 9),
+                event = new Aggregator.ProbeEnded(node(b, at + 3), outcome(b.getShort(at + 1) & 0xffff), id(b, at + 9),
                         report(b, at + 13, reports));
                 break;
             case 3, 8:
                 event = null;
                 break;
             default:
-                throw new BadInput("record " + r + " has the unknown code " + code);
+                throw new InputFormatException("record " + r + " has the unknown code " + code);
         }
-        return new Happened(instance, reports, event);
+        return new InstanceEvent(instance, reports, event);
     }
 
     private Aggregator.Event replicas(ByteBuffer b, int at) {
@@ -138,16 +138,16 @@
             case 1 -> Aggregator.ListKind.WHOLE;
             case 2 -> Aggregator.ListKind.CACHED;
             case 3 -> Aggregator.ListKind.FAILED;
-            default -> throw new BadInput("unknown kind of list: " + how);
+            default -> throw new InputFormatException("unknown kind of list: " + how);
         };
         if (kind == Aggregator.ListKind.FAILED) {
-            return new Aggregator.Replicas(kind, List.of());
+            return new Aggregator.ListUpdate(kind, List.of());
         }
-        List<Aggregator.Listed> bank = banks.get(bank(b.getInt(at + 5)));
+        List<Aggregator.ListEntry> bank = banks.get(bank(b.getInt(at + 5)));
         if (bank == null) {
-            throw new BadInput("a list names table " + b.getInt(at + 5) + ", which never came");
+            throw new InputFormatException("a list names table " + b.getInt(at + 5) + ", which never came");
         }
-        return new Aggregator.Replicas(kind, bank);
+        return new Aggregator.ListUpdate(kind, bank);
     }
 
     private static Aggregator.Event request(ByteBuffer b, int at) {
@@ -155,29 +155,29 @@
         float number = b.getFloat(at + 23);
         float amount = b.getFloat(at + 5);
         if (!Float.isFinite(shard) || !Float.isFinite(number) || !Float.isFinite(amount)) {
-            throw new BadInput("a query or part has a figure that is no number");
+            throw new InputFormatException("a query or part has a figure that is no number");
         }
         int marks = b.get(at + 18) & 0xff;
         long hint = (marks & 1) != 0 ? id(b, at + 14) : 0;
         long key = b.getLong(at + 27);
         if (shard < 0) {
-            return new Aggregator.QueryIn(id(b, at + 1), (long) number, b.get(at + 13) & 0xff, Math.round(amount),
+            return new Aggregator.QueryArrived(id(b, at + 1), (long) number, b.get(at + 13) & 0xff, Math.round(amount),
                     id(b, at + 9), hint, (marks & 2) != 0, key, b.getShort(at + 35) & 0xffff);
         }
-        return new Aggregator.PartIn(id(b, at + 1), (long) number, (int) shard, amount, hint, key);
+        return new Aggregator.PartArrived(id(b, at + 1), (long) number, (int) shard, amount, hint, key);
     }
 
     private static int bank(int number) {
         if (number < 0 || number >= BANKS) {
-            throw new BadInput("table number out of range: " + Integer.toUnsignedString(number));
+            throw new InputFormatException("table number out of range: " + Integer.toUnsignedString(number));
         }
         return number;
     }
 
-    private static List<Aggregator.Listed> entries(ByteBuffer b, int at, int tail) {
+    private static List<Aggregator.ListEntry> entries(ByteBuffer b, int at, int tail) {
         long count = id(b, at + 4);
         int from = span(b, at, tail, count * ENTRY);
-        List<Aggregator.Listed> list = new ArrayList<>();
+        List<Aggregator.ListEntry> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int e = from + i * ENTRY;
             int state = b.get(e + 11) & 0xff;
@@ -185,9 +185,9 @@
                 case 0 -> Aggregator.Status.GONE;
                 case 1 -> Aggregator.Status.READY;
                 case 2 -> Aggregator.Status.DRAINING;
-                default -> throw new BadInput("unknown state of a listed server: " + state);
+                default -> throw new InputFormatException("unknown state of a listed server: " + state);
             };
-            list.add(new Aggregator.Listed(node(b, e), b.get(e + 6) & 0xff, b.getShort(e + 9) & 0xffff, status,
+            list.add(new Aggregator.ListEntry(node(b, e), b.get(e + 6) & 0xff, b.getShort(e + 9) & 0xffff, status,
                     b.getFloat(e + 12), b.getLong(e + 16)));
         }
         return List.copyOf(list);
@@ -199,14 +199,15 @@
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(b.slice(from, (int) length)).toString();
         } catch (CharacterCodingException e) {
-            throw new BadInput("the settings are not valid text");
+            throw new InputFormatException("the settings are not valid text");
         }
     }
 
     private static int span(ByteBuffer b, int at, int tail, long length) {
         long from = tail + id(b, at);
         if (from + length > b.limit()) {
-            throw new BadInput("offset outside the tail: " + id(b, at) + " + " + length + " of " + (b.limit() - tail));
+            throw new InputFormatException("offset outside the tail: " + id(b, at) + " + " + length + " of "
+                    + (b.limit() - tail));
         }
         return (int) from;
     }
@@ -214,7 +215,7 @@
     private static int reportLength(ByteBuffer b, int at) {
         int n = b.get(at) & 0xff;
         if (n > 4) {
-            throw new BadInput("a load report of " + n + " values");
+            throw new InputFormatException("a load report of " + n + " values");
         }
         return n;
     }
@@ -237,7 +238,7 @@
             case 104 -> Aggregator.Outcome.DROPPED;
             case 125 -> Aggregator.Outcome.CANCELLED;
             case 114 -> Aggregator.Outcome.MOOT;
-            default -> throw new BadInput("unknown outcome " + code);
+            default -> throw new InputFormatException("unknown outcome " + code);
         };
     }
 
@@ -256,24 +257,24 @@
         private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
         private int count;
 
-        void speaking(int instance) {
+        void addInstance(int instance) {
             put(record(13).putShort(1, (short) instance));
         }
 
-        void die(String why) {
+        void addFailure(String why) {
             byte[] text = why.getBytes(StandardCharsets.UTF_8);
             put(record(9).putInt(1, tail.size()).putInt(5, text.length));
             tail.writeBytes(text);
         }
 
-        void action(Aggregator.Action action) {
+        void addAction(Aggregator.Action action) {
             ByteBuffer b;
             if (action instanceof Aggregator.Send a) {
                 b = record(0).putInt(1, (int) a.part());
                 putNode(b, 5, a.replica());
                 b.putInt(11, clamp(a.timeout()));
             } else if (action instanceof Aggregator.Refuse a) {
-                b = record(1).putInt(1, (int) a.query()).putInt(5, clamp(a.comeBack()));
+                b = record(1).putInt(1, (int) a.query()).putInt(5, clamp(a.retryAfter()));
             } else if (action instanceof Aggregator.Fail a) {
                 b = record(2).putInt(1, (int) a.query());
             } else if (action instanceof Aggregator.Cancel a) {
@@ -283,7 +284,7 @@
             } else if (action instanceof Aggregator.Probe a) {
                 b = record(5);
                 putNode(b, 1, a.replica());
-            } else if (action instanceof Aggregator.DropIdle a) {
+            } else if (action instanceof Aggregator.CloseIdleConnections a) {
                 b = record(6);
                 putNode(b, 1, a.replica());
             } else if (action instanceof Aggregator.WatchList) {
--- a/coordinator/src/main/java/burlford/adapter/SimHost.java
+++ b/coordinator/src/main/java/burlford/adapter/SimulatorHost.java
@@ -2,8 +2,8 @@
 
 import burlford.policy.Aggregator;
 import burlford.policy.Decide;
-import burlford.settings.BadInput;
-import burlford.settings.Settings;
+import burlford.settings.InputFormatException;
+import burlford.settings.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** Hosts one module instance for each query router the simulator names; instances share nothing. */
-public final class SimHost {
+public final class SimulatorHost {
 
     /** An instance and what it has heard in the batch at hand. */
     private static final class Instance {
@@ -28,33 +28,33 @@
     }
 
     private final Map<Integer, Instance> instances = new LinkedHashMap<>();
-    private final Wire wire = new Wire();
+    private final SimulatorCodec wire = new SimulatorCodec();
 
     public void run(InputStream in, OutputStream out) throws IOException {
-        for (Wire.Batch batch = wire.read(in); batch != null; batch = wire.read(in)) {
+        for (SimulatorCodec.Batch batch = wire.read(in); batch != null; batch = wire.read(in)) {
             answer(batch).write(out, batch.number());
         }
     }
 
-    private Wire.Reply answer(Wire.Batch batch) {
-        Wire.Reply reply = new Wire.Reply();
+    private SimulatorCodec.Reply answer(SimulatorCodec.Batch batch) {
+        SimulatorCodec.Reply reply = new SimulatorCodec.Reply();
         Map<Integer, Instance> heard = new LinkedHashMap<>();
-        for (Wire.Item item : batch.items()) {
-            if (item instanceof Wire.Started s) {
-                Aggregator.Settings settings = Settings.parse(s.settings());
+        for (SimulatorCodec.InputRecord item : batch.records()) {
+            if (item instanceof SimulatorCodec.InstanceStarted s) {
+                Aggregator.Settings settings = SettingsParser.parse(s.settings());
                 Instance fresh = new Instance(new Decide(settings, s.seed()), settings.reportFields().size());
                 instances.put(s.instance(), fresh);
                 heard.put(s.instance(), fresh);
-            } else if (item instanceof Wire.Stopped s) {
+            } else if (item instanceof SimulatorCodec.InstanceStopped s) {
                 instances.remove(s.instance());
                 heard.remove(s.instance());
-            } else if (item instanceof Wire.Happened h) {
+            } else if (item instanceof SimulatorCodec.InstanceEvent h) {
                 Instance held = instances.get(h.instance());
                 if (held == null) {
-                    throw new BadInput("event for instance " + h.instance() + ", which was never started");
+                    throw new InputFormatException("event for instance " + h.instance() + ", which was never started");
                 }
                 if (h.reportLength() != 0 && h.reportLength() != held.reportFields) {
-                    throw new BadInput("a load report of " + h.reportLength() + " values where "
+                    throw new InputFormatException("a load report of " + h.reportLength() + " values where "
                             + held.reportFields + " are named");
                 }
                 heard.put(h.instance(), held);
@@ -67,21 +67,21 @@
         return reply;
     }
 
-    private static void decide(Wire.Reply reply, int number, Instance instance, long clock) {
+    private static void decide(SimulatorCodec.Reply reply, int number, Instance instance, long clock) {
         List<Aggregator.Action> actions;
         try {
             actions = instance.module.round(clock, instance.events);
         } catch (RuntimeException e) {
             StackTraceElement[] at = e.getStackTrace();
-            reply.speaking(number);
-            reply.die(e + (at.length > 0 ? " at " + at[0] : ""));
+            reply.addInstance(number);
+            reply.addFailure(e + (at.length > 0 ? " at " + at[0] : ""));
             return;
         } finally {
             instance.events.clear();
         }
         if (!actions.isEmpty()) {
-            reply.speaking(number);
-            actions.forEach(reply::action);
+            reply.addInstance(number);
+            actions.forEach(reply::addAction);
         }
     }
 }
--- a/coordinator/src/main/java/burlford/clients/BodyBudget.java
+++ b/coordinator/src/main/java/burlford/clients/BodyBudget.java
@@ -20,7 +20,7 @@
     private static final int OVERHEAD = 128;
 
     /** The fault of a request whose body there was no room for. */
-    static final class NoRoom extends Exception {
+    static final class BodyBudgetExceededException extends Exception {
         private static final long serialVersionUID = 1L;
     }
 
@@ -44,7 +44,7 @@
             if (!refused) {
                 refused = true;
                 DefaultLastHttpContent end = new DefaultLastHttpContent();
-                end.setDecoderResult(DecoderResult.failure(new NoRoom()));
+                end.setDecoderResult(DecoderResult.failure(new BodyBudgetExceededException()));
                 handOn(ctx, end);
             }
         } else {
@@ -63,7 +63,7 @@
     }
 
     private boolean hold(int bytes) {
-        if (!connections.hold(bytes)) {
+        if (!connections.tryReserve(bytes)) {
             return false;
         }
         held += bytes;
--- a/coordinator/src/main/java/burlford/clients/Connections.java
+++ b/coordinator/src/main/java/burlford/clients/Connections.java
@@ -1,9 +1,9 @@
 package burlford.clients;
 
+import burlford.core.ClientLimits;
 import burlford.core.Counters;
-import burlford.core.Crowd;
-import burlford.core.Deadlines;
 import burlford.core.EventLog;
+import burlford.core.Timers;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -24,9 +24,9 @@
     /** A connection that had a request may be closed once it has had none for so long. */
     private static final long RESTED = 2_000_000;
 
-    private final Deadlines deadlines;
+    private final Timers timers;
     private final LongSupplier clock;
-    private final Crowd crowd;
+    private final ClientLimits crowd;
     private final Counters counters;
     private final EventLog events;
     private int most;
@@ -38,23 +38,23 @@
     private final Map<HttpConnection, Long> resting = new LinkedHashMap<>();
 
     /** descriptors: all that the process may hold. crowd: the connections and requests of the whole process. */
-    public Connections(int descriptors, Crowd crowd, Counters counters, Deadlines deadlines, LongSupplier clock) {
+    public Connections(int descriptors, ClientLimits crowd, Counters counters, Timers deadlines, LongSupplier clock) {
         this.crowd = crowd;
         this.counters = counters;
-        this.deadlines = deadlines;
+        this.timers = deadlines;
         this.clock = clock;
         this.events = new EventLog(Connections.class, clock);
-        limit(descriptors);
+        setDescriptorLimit(descriptors);
     }
 
     /** Of sixteen descriptors clients hold nine, and one to be refused; the rest is for all others. */
-    public void limit(int descriptors) {
+    public void setDescriptorLimit(int descriptors) {
         most = Math.max(1, descriptors * 9 / 16);
         toRefuse = Math.max(1, descriptors / 16);
     }
 
-    Deadlines deadlines() {
-        return deadlines;
+    Timers timers() {
+        return timers;
     }
 
     long now() {
@@ -65,20 +65,20 @@
     void opened(HttpConnection c) {
         open++;
         crowd.opened();
-        if (crowded() && crowd.closeOwn()) {
-            makeRoom();
+        if (isOverLimit() && crowd.mustEvictOwn()) {
+            evictIdleConnection();
         }
         silent.put(c, now());
     }
 
     /** Closes the one that waits longest without a request, if one may go. */
-    public void makeRoom() {
+    public void evictIdleConnection() {
         for (HttpConnection goes = nextToGo(); goes != null; goes = nextToGo()) {
-            if (goes.isStillWaiting()) {
+            if (goes.isStillAwaitingRequest()) {
                 goes.close(CloseReason.MAKE_ROOM);
                 return;
             }
-            busy(goes);
+            markBusy(goes);
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** Since when the one that would go to make room has waited; Long.MAX_VALUE where none may go. */
-    public long longestWaiting() {
+    public long longestIdleSince() {
         if (!silent.isEmpty()) {
             return silent.values().iterator().next();
         }
@@ -97,11 +97,11 @@
     }
 
     /** Connections between requests, those longest so first, that another event loop could take. */
-    public List<HttpConnection> movable(int most) {
+    public List<HttpConnection> movableConnections(int most) {
         List<HttpConnection> all = new ArrayList<>();
         for (Map<HttpConnection, Long> waiting : List.of(resting, silent)) {
             for (HttpConnection c : waiting.keySet()) {
-                if (all.size() < most && c.isClean()) {
+                if (all.size() < most && c.isMovable()) {
                     all.add(c);
                 }
             }
@@ -110,7 +110,7 @@
     }
 
     /** Connections on this event loop. */
-    public int open() {
+    public int openCount() {
         return open;
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** Counts why a connection is about to be closed from this side. */
-    void closing(CloseReason reason, Object client) {
+    void recordClose(CloseReason reason, Object client) {
         events.log("client", client, "closed:", reason);
         counters.add("clients.connections.closed." + reason.name().toLowerCase(Locale.ROOT));
     }
@@ -132,70 +132,70 @@
     void closed(HttpConnection c) {
         open--;
         crowd.closed();
-        busy(c);
+        markBusy(c);
     }
 
     /** It has a request in work. */
-    void busy(HttpConnection c) {
+    void markBusy(HttpConnection c) {
         silent.remove(c);
         resting.remove(c);
     }
 
     /** It had its reply. */
-    void resting(HttpConnection c) {
+    void markIdle(HttpConnection c) {
         resting.put(c, now());
     }
 
-    boolean isResting(HttpConnection c) {
+    boolean isIdle(HttpConnection c) {
         return resting.containsKey(c);
     }
 
     /** It has no request in work, nor has one begun. */
-    boolean isWaiting(HttpConnection c) {
+    boolean isAwaitingRequest(HttpConnection c) {
         return resting.containsKey(c) || silent.containsKey(c);
     }
 
     /** It had its last reply and is to go. */
-    void leaving(HttpConnection c) {
+    void markClosing(HttpConnection c) {
         silent.put(c, now());
     }
 
-    public boolean anyOpen() {
+    public boolean hasOpenConnections() {
         return open > 0;
     }
 
     /** Little room is left: connections end behind their replies, which frees them sooner than their rest would. */
-    boolean scarce() {
-        return crowd.open() > most * 3 / 4;
+    boolean isNearLimit() {
+        return crowd.openCount() > most * 3 / 4;
     }
 
-    boolean crowded() {
-        return crowd.open() > most;
+    boolean isOverLimit() {
+        return crowd.openCount() > most;
     }
 
-    boolean full() {
-        return crowd.open() > most + toRefuse;
+    boolean isFull() {
+        return crowd.openCount() > most + toRefuse;
     }
 
     /** Makes room for so many bytes of a request, if there is any. */
-    boolean hold(int bytes) {
-        return crowd.hold(bytes);
+    boolean tryReserve(int bytes) {
+        return crowd.tryReserve(bytes);
     }
 
     void release(int bytes) {
         crowd.release(bytes);
     }
 
-    void writing() {
+    void onReplyStarted() {
         unwritten++;
     }
 
-    void written() {
+    void onReplyWritten() {
         unwritten--;
     }
 
     /** No reply is still on its way into a connection. */
-    public boolean allWritten() {
+    public boolean allRepliesWritten() {
         return unwritten == 0;
     }
 }
--- a/coordinator/src/main/java/burlford/clients/Exchange.java
+++ b/coordinator/src/main/java/burlford/clients/Exchange.java
@@ -20,11 +20,11 @@
     final Throwable fault;
     final boolean keepAlive;
     /** Its front has it and will reply, now or later. */
-    boolean inWork;
+    boolean inProgress;
     /** One of too many that wait on its connection. */
-    boolean excess;
+    boolean overQueueLimit;
     /** Bytes held for it until it is replied to. */
-    int held;
+    int reservedBytes;
     private Runnable onLeft;
     private boolean replied;
 
@@ -41,7 +41,7 @@
     }
 
     /** What to do if the client closes its connection before it has its reply. */
-    public void onLeft(Runnable action) {
+    public void onClientDisconnect(Runnable action) {
         onLeft = action;
     }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    void left() {
+    void clientDisconnected() {
         if (!replied && onLeft != null) {
             replied = true;
             onLeft.run();
@@ -60,7 +60,7 @@
     }
 
     /** Whether its client has not closed the connection, as of now or of a moment ago. */
-    public boolean clientIsConnected() {
+    public boolean isClientConnected() {
         return connection.isConnected();
     }
 
--- a/coordinator/src/main/java/burlford/clients/HttpConnection.java
+++ b/coordinator/src/main/java/burlford/clients/HttpConnection.java
@@ -1,8 +1,8 @@
 package burlford.clients;
 
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import burlford.net.BacklogAge;
-import burlford.net.Reads;
+import burlford.net.ChannelReads;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -51,7 +51,7 @@
 public final class HttpConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final Logger LOG = Logger.getLogger(HttpConnection.class.getName());
-    public static final int LONGEST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     /** Requests that may wait on one connection behind the one in work; those behind them are refused in turn. */
     private static final int MOST_WAITING = 8;
     /** With so many, all that wait are refused and no more are read: the connection ends behind them. */
@@ -63,7 +63,9 @@
     /** So long, and for so many bytes, what still comes in behind a last reply is read and thrown away. */
     private static final long LEAVE_TIME = 1_000_000;
     private static final int MOST_THROWN_AWAY = 1 << 18;
-    /** What was read this long ago still tells whether the client is there; an attempt may begin 0.1 s after its end. */
+    /**
+     * What was read this long ago still tells whether the client is there; an attempt may begin 0.1 s after its end.
+     */
     private static final long READ_AGAIN_US = 20_000;
     /** A request read this soon after its connection was accepted may have waited in the listener's backlog with it. */
     private static final long SOON_AFTER_ACCEPT_US = 10_000;
@@ -77,7 +79,7 @@
         void reject(Exchange exchange, HttpResponseStatus status, String fault);
 
         /** Refuses a request, as the front's clients know a refusal, for want of room. */
-        void crowded(Exchange exchange, String why);
+        void refuseOverloaded(Exchange exchange, String why);
     }
 
     private final Front front;
@@ -107,7 +109,7 @@
     private long acceptedAt;
     /** Since when it may have waited in the listener's backlog. */
     private long waitingSince = NO_BACKLOG;
-    private Deadlines.Deadline by;
+    private Timers.Timer by;
 
     private HttpConnection(Front front, LongSupplier clock, BooleanSupplier leaving, Connections connections) {
         this.front = front;
@@ -117,15 +119,15 @@
     }
 
     /** What turns the bytes of a connection into requests, and the connection itself. */
-    public static ChannelHandler[] handlers(Front front, LongSupplier clock, BooleanSupplier leaving,
+    public static ChannelHandler[] createHandlers(Front front, LongSupplier clock, BooleanSupplier leaving,
             Connections connections) {
         HttpConnection c = new HttpConnection(front, clock, leaving, connections);
-        return new ChannelHandler[] {c.new Arrivals(), new HttpResponseEncoder(), c.decoder,
+        return new ChannelHandler[] {c.new RawInboundHandler(), new HttpResponseEncoder(), c.decoder,
             new BodyBudget(connections), aggregator(), c};
     }
 
     /** What comes in, before it is decoded. */
-    private final class Arrivals extends ChannelInboundHandlerAdapter {
+    private final class RawInboundHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext c, Object message) {
             clean = false;
@@ -163,14 +165,14 @@
 
     /** Collects whole requests; one that is too long comes through as a faulty one, to be answered in turn. */
     private static HttpObjectAggregator aggregator() {
-        return new HttpObjectAggregator(LONGEST_BODY) {
+        return new HttpObjectAggregator(MAX_BODY_BYTES) {
             @Override
             protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
                 HttpRequest r = (HttpRequest) oversized;
                 FullHttpRequest stub = new DefaultFullHttpRequest(r.protocolVersion(), r.method(), r.uri(),
                         Unpooled.EMPTY_BUFFER, r.headers(), r.headers());
                 stub.setDecoderResult(DecoderResult.failure(new TooLongFrameException("the body is longer than "
-                        + LONGEST_BODY + " bytes")));
+                        + MAX_BODY_BYTES + " bytes")));
                 ctx.fireChannelRead(stub);
             }
         };
@@ -183,11 +185,11 @@
         readAt = acceptedAt;
         Long backlog = c.channel().attr(BacklogAge.WAITING_SINCE).getAndSet(null);
         waitingSince = backlog == null ? NO_BACKLOG : backlog;
-        c.channel().config().setRecvByteBufAllocator(Reads.UNTIL_EMPTY);
+        c.channel().config().setRecvByteBufAllocator(ChannelReads.READ_UNTIL_EMPTY_ALLOCATOR);
         c.channel().closeFuture().addListener(onClose);
         connections.opened(this);
-        crowded = connections.crowded();
-        if (connections.full()) {
+        crowded = connections.isOverLimit();
+        if (connections.isFull()) {
             close(CloseReason.FULL);
         } else {
             due(REQUEST_TIME, this::tooSlow);
@@ -197,7 +199,7 @@
     /** Reads again where the last read is old: the client's end may have come since. */
     boolean isConnected() {
         if (connections.now() - readAt > READ_AGAIN_US) {
-            Reads.readNow(ctx.channel());
+            ChannelReads.readNow(ctx.channel());
         }
         return ctx.channel().isActive();
     }
@@ -210,28 +212,28 @@
     }
 
     /** Between requests or before the first, also by what has come and was not read. */
-    boolean isStillWaiting() {
-        Reads.readNow(ctx.channel());
-        return connections.isWaiting(this) && ctx.channel().isActive();
+    boolean isStillAwaitingRequest() {
+        ChannelReads.readNow(ctx.channel());
+        return connections.isAwaitingRequest(this) && ctx.channel().isActive();
     }
 
     private void gone() {
         connections.closed(this);
-        connections.deadlines().cancel(by);
+        connections.timers().cancel(by);
     }
 
     private void due(long wait, Runnable action) {
-        connections.deadlines().cancel(by);
-        by = connections.deadlines().at(connections.now() + wait, action);
+        connections.timers().cancel(by);
+        by = connections.timers().schedule(connections.now() + wait, action);
     }
 
     void close(CloseReason reason) {
-        connections.closing(reason, ctx.channel().remoteAddress());
+        connections.recordClose(reason, ctx.channel().remoteAddress());
         ctx.close();
     }
 
     /** Between requests, with no byte of the next one read nor of a reply unwritten: all there is is its socket. */
-    boolean isClean() {
+    boolean isMovable() {
         return clean && waiting.isEmpty() && !begun && !ending && !crowded && unwritten == 0;
     }
 
@@ -239,9 +241,9 @@
      * Leaves this event loop for another, where the taker gives it new handlers; false where it is not between
      * requests. Not to be called from within a read of it.
      */
-    public boolean move(Consumer<Channel> taker) {
+    public boolean detach(Consumer<Channel> taker) {
         Channel channel = ctx.channel();
-        if (!isClean() || !channel.isActive()) {
+        if (!isMovable() || !channel.isActive()) {
             return false;
         }
         channel.closeFuture().removeListener(onClose);
@@ -264,8 +266,8 @@
     private void arrived() {
         if (waiting.isEmpty() && !begun) {
             begun = true;
-            boolean rested = connections.isResting(this);
-            connections.busy(this); // not closed for another over a request that has begun
+            boolean rested = connections.isIdle(this);
+            connections.markBusy(this); // not closed for another over a request that has begun
             if (rested) {
                 due(REQUEST_TIME, this::tooSlow);
             }
@@ -275,7 +277,7 @@
     /** Guards against heads and bodies that come slowly or never end. */
     private void tooSlow() {
         long requestsBefore = requests;
-        Reads.readNow(ctx.channel());
+        ChannelReads.readNow(ctx.channel());
         if (requests > requestsBefore || !ctx.channel().isActive()) {
             return; // it had come
         }
@@ -298,25 +300,25 @@
         requests++;
         begun = false;
         clean = !decoder.holdsBytes();
-        connections.deadlines().cancel(by);
-        connections.busy(this);
+        connections.timers().cancel(by);
+        connections.markBusy(this);
         Throwable fault = r.decoderResult().isFailure() ? r.decoderResult().cause() : null;
         if (fault == null && r.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
             // Chunks have been put together by now; any other coding may hide a request in the body.
             fault = new IllegalArgumentException("a Transfer-Encoding other than chunked");
         }
         int size = r.content().readableBytes();
-        if (fault == null && !connections.hold(size)) {
-            fault = new BodyBudget.NoRoom();
+        if (fault == null && !connections.tryReserve(size)) {
+            fault = new BodyBudget.BodyBudgetExceededException();
         }
         Exchange e = new Exchange(this, r.method(), r.uri(), r.headers().copy(), fault != null ? new byte[0]
                 : ByteBufUtil.getBytes(r.content()), arrivalTime(), fault, fault == null && HttpUtil.isKeepAlive(r));
-        e.held = fault == null ? size : 0;
-        e.excess = waiting.size() > MOST_WAITING;
+        e.reservedBytes = fault == null ? size : 0;
+        e.overQueueLimit = waiting.size() > MOST_WAITING;
         waiting.add(e);
         if (waiting.size() >= MOST_HELD) {
             flooded = true;
-            waiting.stream().skip(1).forEach(w -> w.excess = true);
+            waiting.stream().skip(1).forEach(w -> w.overQueueLimit = true);
         }
         serveNext();
     }
@@ -330,14 +332,14 @@
         // Nor is anything served while the client does not read the replies that it has already.
         while (!waiting.isEmpty() && !ending && ctx.channel().isWritable()) {
             Exchange e = waiting.peek();
-            if (e.inWork) {
+            if (e.inProgress) {
                 break;
             }
-            e.inWork = true;
-            if (crowded || e.fault instanceof BodyBudget.NoRoom) {
-                front.crowded(e, "too many connections");
-            } else if (e.excess) {
-                front.crowded(e, "too many requests on one connection");
+            e.inProgress = true;
+            if (crowded || e.fault instanceof BodyBudget.BodyBudgetExceededException) {
+                front.refuseOverloaded(e, "too many connections");
+            } else if (e.overQueueLimit) {
+                front.refuseOverloaded(e, "too many requests on one connection");
             } else if (e.fault instanceof TooLongFrameException) {
                 boolean body = e.method != HttpMethod.GET && String.valueOf(e.fault.getMessage()).contains("body");
                 front.reject(e, body ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
@@ -369,23 +371,23 @@
         release(e);
         // Clients that ask once and keep their connection came so fast that all room was taken by them.
         boolean last = flooded && waiting.isEmpty();
-        boolean close = !e.keepAlive || crowded || last || connections.scarce() || leaving.getAsBoolean();
+        boolean close = !e.keepAlive || crowded || last || connections.isNearLimit() || leaving.getAsBoolean();
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 e.method.equals(HttpMethod.HEAD) ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         extra.forEach(response.headers()::set);
         if (close) {
-            connections.closing(closeReason(e), ctx.channel().remoteAddress());
+            connections.recordClose(closeReason(e), ctx.channel().remoteAddress());
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ending = true;
         }
-        connections.writing();
+        connections.onReplyStarted();
         unwritten++;
         ChannelFuture written = ctx.writeAndFlush(response);
         written.addListener(f -> {
             unwritten--;
-            connections.written();
+            connections.onReplyWritten();
         });
         if (close) {
             if ((e.fault != null || flooded) && ctx.channel() instanceof DuplexChannel duplex) {
@@ -404,9 +406,9 @@
     /** All that came is answered; but the next request may have begun behind it. */
     private void awaitNext() {
         if (clean) {
-            connections.resting(this);
+            connections.markIdle(this);
             due(REST_TIME, () -> {
-                if (isStillWaiting()) {
+                if (isStillAwaitingRequest()) {
                     close(CloseReason.IDLE);
                 }
             });
@@ -436,14 +438,14 @@
         if (channel.isOpen()) {
             channel.shutdownOutput();
             channel.config().setAutoRead(true);
-            connections.leaving(this);
+            connections.markClosing(this);
             due(LEAVE_TIME, () -> close(CloseReason.LINGERED));
         }
     }
 
     private void release(Exchange e) {
-        connections.release(e.held);
-        e.held = 0;
+        connections.release(e.reservedBytes);
+        e.reservedBytes = 0;
     }
 
     @Override
@@ -455,7 +457,7 @@
     public void channelInactive(ChannelHandlerContext c) {
         ending = true;
         waiting.forEach(this::release);
-        waiting.forEach(Exchange::left);
+        waiting.forEach(Exchange::clientDisconnected);
         waiting.clear();
     }
 
@@ -464,7 +466,7 @@
         // A client that goes, also in the middle of a request, is nothing to tell of.
         if (!(cause instanceof IOException || cause instanceof PrematureChannelClosureException)) {
             LOG.log(Level.WARNING, "client connection closed", cause);
-            connections.closing(CloseReason.FAULT, ctx.channel().remoteAddress());
+            connections.recordClose(CloseReason.FAULT, ctx.channel().remoteAddress());
         }
         c.close();
     }
--- a/coordinator/src/main/java/burlford/clients/PlatformFront.java
+++ b/coordinator/src/main/java/burlford/clients/PlatformFront.java
@@ -43,17 +43,17 @@
     }
 
     /** The client's fault, as it is told. */
-    private static final class Fault extends Exception {
+    private static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Fault(String message) {
+        InvalidRequestException(String message) {
             super(message);
         }
     }
 
     @Override
     public void serve(Exchange e) {
-        coordinator.catchUp(); // a query is read under the settings it is taken under
+        coordinator.applyPendingUpdates(); // a query is read under the settings it is taken under
         String path = e.uri.contains("?") ? e.uri.substring(0, e.uri.indexOf('?')) : e.uri;
         if (path.equals("/healthz") || path.equals("/counters")) {
             if (!e.method.equals(HttpMethod.GET) && !e.method.equals(HttpMethod.HEAD)) {
@@ -79,17 +79,17 @@
         Query query;
         try {
             query = query(e, path);
-        } catch (Fault f) {
+        } catch (InvalidRequestException f) {
             reject(e, HttpResponseStatus.BAD_REQUEST, f.getMessage());
             return;
         }
-        long number = coordinator.take(query, new Reply(e));
+        long number = coordinator.submit(query, new Reply(e));
         if (number == 0) {
             // Answers name their part by it: one client could get what was made for another.
             reject(e, HttpResponseStatus.CONFLICT, "header Req-Id names a query that is still open: " + query.id());
             return;
         }
-        e.onLeft(() -> coordinator.left(number));
+        e.onClientDisconnect(() -> coordinator.clientLeft(number));
     }
 
     @Override
@@ -101,10 +101,10 @@
     }
 
     @Override
-    public void crowded(Exchange e, String why) {
+    public void refuseOverloaded(Exchange e, String why) {
         coordinator.counters().add("clients.requests.crowded");
         e.reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "text/plain", "refused: " + why + "\n",
-                comeBack(coordinator.site().comeBack()));
+                comeBack(coordinator.site().retryAfter()));
     }
 
     private static Map<String, String> comeBack(long after) {
@@ -125,8 +125,8 @@
             ArrayNode rows = body.putArray("rows");
             values.forEach((shard, value) -> rows.addObject().put("id", shard).put("data", value));
             String text = body.toString();
-            if (text.getBytes(StandardCharsets.UTF_8).length > HttpConnection.LONGEST_BODY) {
-                failed("the answer is longer than " + HttpConnection.LONGEST_BODY + " bytes");
+            if (text.getBytes(StandardCharsets.UTF_8).length > HttpConnection.MAX_BODY_BYTES) {
+                failed("the answer is longer than " + HttpConnection.MAX_BODY_BYTES + " bytes");
                 return;
             }
             exchange.reply(HttpResponseStatus.OK, "application/json", text, Map.of());
@@ -138,8 +138,8 @@
         }
 
         @Override
-        public boolean stillWaits() {
-            return exchange.clientIsConnected();
+        public boolean isConnected() {
+            return exchange.isClientConnected();
         }
 
         @Override
@@ -150,22 +150,22 @@
 
     // ---- reading a query
 
-    private Query query(Exchange e, String path) throws Fault {
+    private Query query(Exchange e, String path) throws InvalidRequestException {
         String id = header(e, "Req-Id");
         if (!id.matches(ID)) {
-            throw new Fault("header Req-Id is not a plain word: " + id);
+            throw new InvalidRequestException("header Req-Id is not a plain word: " + id);
         }
         String kind = header(e, "Req-Kind");
         int queryClass = coordinator.site().classes().indexOf(kind);
         if (queryClass < 0) {
-            throw new Fault("header Req-Kind names an unknown class: " + kind);
+            throw new InvalidRequestException("header Req-Kind names an unknown class: " + kind);
         }
         int tenant = 0;
         if (!coordinator.site().tenants().isEmpty()) {
             String owner = header(e, "Req-Owner");
             tenant = coordinator.site().tenants().indexOf(owner);
             if (tenant < 0) {
-                throw new Fault("header Req-Owner names an unknown tenant: " + owner);
+                throw new InvalidRequestException("header Req-Owner names an unknown tenant: " + owner);
             }
         }
         long wait = wait(header(e, "Req-Deadline-Ms"));
@@ -174,22 +174,23 @@
         JsonNode body = body(e.body);
         JsonNode text = body.get("expr");
         if (text == null || !text.isTextual()) {
-            throw new Fault("expr is not a string");
+            throw new InvalidRequestException("expr is not a string");
         }
         return new Query(id, queryClass, tenant, key, "1".equals(e.headers.get("Req-Retry")),
                 Query.deadline(e.arrivedAt, wait), text.textValue().getBytes(StandardCharsets.UTF_8),
                 parts(body.get("parts"), key));
     }
 
-    private static String header(Exchange e, String name) throws Fault {
+    private static String header(Exchange e, String name) throws InvalidRequestException {
         List<String> values = e.headers.getAll(name);
         if (values.size() != 1 || values.get(0).isBlank()) {
-            throw new Fault("header " + name + (values.size() > 1 ? " is given more than once" : " is missing"));
+            throw new InvalidRequestException("header " + name + (values.size() > 1 ? " is given more than once"
+                    : " is missing"));
         }
         return values.get(0).trim();
     }
 
-    private static long wait(String value) throws Fault {
+    private static long wait(String value) throws InvalidRequestException {
         try {
             long wait = Long.parseLong(value);
             if (wait > 0 && wait <= LONGEST_WAIT_MS) {
@@ -198,26 +199,27 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new Fault("header Req-Deadline-Ms is not a whole number from 1 to " + LONGEST_WAIT_MS + ": " + value);
+        throw new InvalidRequestException("header Req-Deadline-Ms is not a whole number from 1 to " + LONGEST_WAIT_MS
+                + ": " + value);
     }
 
-    private JsonNode body(byte[] bytes) throws Fault {
+    private JsonNode body(byte[] bytes) throws InvalidRequestException {
         try {
             JsonNode body = json.readTree(bytes);
             if (body != null && body.isObject()) {
                 return body;
             }
         } catch (JsonProcessingException e) {
-            throw new Fault("malformed JSON: " + e.getOriginalMessage());
+            throw new InvalidRequestException("malformed JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new Fault("unreadable body: " + e.getMessage());
+            throw new InvalidRequestException("unreadable body: " + e.getMessage());
         }
-        throw new Fault("the body is not a JSON object");
+        throw new InvalidRequestException("the body is not a JSON object");
     }
 
-    private List<Dispatcher.Part> parts(JsonNode list, long key) throws Fault {
-        if (list == null || !list.isArray() || list.isEmpty() || list.size() > Dispatcher.MOST_PARTS) {
-            throw new Fault("parts is not a list of 1 to " + Dispatcher.MOST_PARTS);
+    private List<Dispatcher.Part> parts(JsonNode list, long key) throws InvalidRequestException {
+        if (list == null || !list.isArray() || list.isEmpty() || list.size() > Dispatcher.MAX_PARTS) {
+            throw new InvalidRequestException("parts is not a list of 1 to " + Dispatcher.MAX_PARTS);
         }
         List<Dispatcher.Part> parts = new ArrayList<>();
         Set<Integer> shards = new HashSet<>();
@@ -227,14 +229,15 @@
             JsonNode id = p.get("id");
             if (id == null || !id.isIntegralNumber() || !id.canConvertToInt() || id.intValue() < 0
                     || id.intValue() >= coordinator.site().shards()) {
-                throw new Fault(at + ".id is not a shard from 0 to " + (coordinator.site().shards() - 1));
+                throw new InvalidRequestException(at + ".id is not a shard from 0 to " + (coordinator.site().shards()
+                        - 1));
             }
             if (!shards.add(id.intValue())) {
-                throw new Fault(at + ".id names shard " + id.intValue() + " again");
+                throw new InvalidRequestException(at + ".id names shard " + id.intValue() + " again");
             }
             double weight = number(p, "w", at, 1.0 / list.size());
             if (weight <= 0 || weight > 1 + ROUNDING) {
-                throw new Fault(at + ".w is not a share above 0 and up to 1");
+                throw new InvalidRequestException(at + ".w is not a share above 0 and up to 1");
             }
             whole += weight;
             long hint = (long) number(p, "hint", at, 0);
@@ -244,18 +247,18 @@
             parts.add(new Dispatcher.Part(id.intValue(), weight, hint, partKey));
         }
         if (Math.abs(whole - 1) > ROUNDING) {
-            throw new Fault("the weights w of parts do not add up to 1");
+            throw new InvalidRequestException("the weights w of parts do not add up to 1");
         }
         return parts;
     }
 
-    private static double number(JsonNode part, String name, String at, double absent) throws Fault {
+    private static double number(JsonNode part, String name, String at, double absent) throws InvalidRequestException {
         JsonNode value = part.get(name);
         if (value == null) {
             return absent;
         }
         if (!value.isNumber() || !(value.doubleValue() >= 0) || Double.isInfinite(value.doubleValue())) {
-            throw new Fault(at + "." + name + " is not a number of at least 0");
+            throw new InvalidRequestException(at + "." + name + " is not a number of at least 0");
         }
         return value.doubleValue();
     }
--- a/coordinator/src/main/java/burlford/core/Call.java
+++ b/coordinator/src/main/java/burlford/core/Call.java
@@ -12,7 +12,7 @@
     public final long deadline;
     /** When the reader had started that it is meant for. */
     final long readerStartedAt;
-    Deadlines.Deadline timeout;
+    Timers.Timer timeout;
     boolean ended;
     /** The readers' side has it; before that it waits for the end of its turn. */
     boolean handedOver;
--- a/coordinator/src/main/java/burlford/core/Client.java
+++ b/coordinator/src/main/java/burlford/core/Client.java
@@ -14,7 +14,7 @@
     void failed(String why);
 
     /** Whether it still waits, as of now or of a moment ago: it has not closed its connection. */
-    default boolean stillWaits() {
+    default boolean isConnected() {
         return true;
     }
 }
--- a/coordinator/src/main/java/burlford/core/Crowd.java
+++ b/coordinator/src/main/java/burlford/core/ClientLimits.java
@@ -4,26 +4,26 @@
  * How many client connections the process has, and the bytes of requests it holds; each event loop that has
  * connections has its own view, called there alone.
  */
-public interface Crowd {
+public interface ClientLimits {
 
     void opened();
 
     void closed();
 
     /** Client connections of the whole process. */
-    int open();
+    int openCount();
 
     /** Too many are open: someone's longest silent connection is to go. True: the caller is to close one of its own. */
-    boolean closeOwn();
+    boolean mustEvictOwn();
 
     /** Makes room for so many bytes of requests, if there is any. */
-    boolean hold(int bytes);
+    boolean tryReserve(int bytes);
 
     void release(int bytes);
 
     /** That of a process with one such loop. mostHeld: bytes. */
-    static Crowd alone(long mostHeld) {
-        return new Crowd() {
+    static ClientLimits singleLane(long mostHeld) {
+        return new ClientLimits() {
             private int open;
             private long held;
 
@@ -38,17 +38,17 @@
             }
 
             @Override
-            public int open() {
+            public int openCount() {
                 return open;
             }
 
             @Override
-            public boolean closeOwn() {
+            public boolean mustEvictOwn() {
                 return true;
             }
 
             @Override
-            public boolean hold(int bytes) {
+            public boolean tryReserve(int bytes) {
                 if (held + bytes > mostHeld) {
                     return false;
                 }
--- a/coordinator/src/main/java/burlford/core/Coordinator.java
+++ b/coordinator/src/main/java/burlford/core/Coordinator.java
@@ -7,10 +7,10 @@
 import burlford.policy.Dispatcher;
 import burlford.policy.Dispatcher.Cancel;
 import burlford.policy.Dispatcher.Decisions;
-import burlford.policy.Dispatcher.Ending;
+import burlford.policy.Dispatcher.FinalAnswer;
 import burlford.policy.Dispatcher.Send;
+import burlford.policy.PeerUpdate;
 import burlford.policy.SendCheck;
-import burlford.policy.Word;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Collection;
@@ -29,9 +29,9 @@
 
 /**
  * Holds the open queries between whoever asks and the readers, and carries out what the dispatcher decides.
- * It knows no wire: fronts call {@link #take} and {@link #left}, the readers' side reports what came back.
+ * It knows no wire: fronts call {@link #submit} and {@link #clientLeft}, the readers' side reports what came back.
  */
-public final class Coordinator implements Roster {
+public final class Coordinator implements ReaderRegistry {
 
     private static final Logger LOG = Logger.getLogger(Coordinator.class.getName());
     /** A line for each query, attempt, probe and list entry, at FINE; off by default, asked for once. */
@@ -44,7 +44,7 @@
     /** A load that may be older than this is left out: queues are others by then. */
     private static final long STALE = 100_000;
 
-    private static final class Open {
+    private static final class OpenQuery {
         final long number;
         final Query query;
         final Client client;
@@ -52,10 +52,10 @@
         final long takenAt;
         final Map<Integer, String> values = new TreeMap<>();
         final Map<Long, Call> calls = new HashMap<>();
-        Deadlines.Deadline lastWord;
+        Timers.Timer lastWord;
         boolean ended;
 
-        Open(long number, Query query, Client client, Dispatcher dispatcher, long takenAt) {
+        OpenQuery(long number, Query query, Client client, Dispatcher dispatcher, long takenAt) {
             this.number = number;
             this.takenAt = takenAt;
             this.query = query;
@@ -65,33 +65,33 @@
     }
 
     /** What a dispatcher decided, and which: after a change of the settings there may be two. */
-    private record Decided(Dispatcher by, Decisions what) { }
+    private record PendingDecisions(Dispatcher by, Decisions what) { }
 
     private Site site;
     private Dispatcher dispatcher;
-    private final Deadlines deadlines;
+    private final Timers deadlines;
     private final Counters counters;
     private final LongSupplier clock;
     private final EventLog events;
-    private final Commons commons;
-    private Readers readers;
-    private final Map<Long, Open> queries = new LinkedHashMap<>();
+    private final SharedState commons;
+    private ReaderTransport readers;
+    private final Map<Long, OpenQuery> queries = new LinkedHashMap<>();
     private final Map<String, ReaderEntry> list = new LinkedHashMap<>();
     private Runnable onListed = () -> { };
     private Runnable readList = () -> { };
-    private final ArrayDeque<Decided> decided = new ArrayDeque<>();
+    private final ArrayDeque<PendingDecisions> decided = new ArrayDeque<>();
     /** Calls decided in this turn. */
     private final ArrayDeque<Call> unsent = new ArrayDeque<>();
     private boolean carryingOut;
     private boolean catchingUp;
     /** Probes that another coordinator sent and whose results this one's module waits for. */
-    private final Map<String, Deadlines.Deadline> joined = new HashMap<>();
+    private final Map<String, Timers.Timer> joined = new HashMap<>();
     private long endBy = Long.MAX_VALUE;
     private boolean abandoned;
     /** Queries may be open under settings that are no longer in force. */
     private boolean older;
 
-    public Coordinator(Site site, Dispatcher dispatcher, Commons commons, Deadlines deadlines, Counters counters,
+    public Coordinator(Site site, Dispatcher dispatcher, SharedState commons, Timers deadlines, Counters counters,
             LongSupplier clock) {
         this.commons = commons;
         this.site = site;
@@ -102,7 +102,7 @@
         this.events = new EventLog(Coordinator.class, clock);
     }
 
-    public void connect(Readers to) {
+    public void setReaderTransport(ReaderTransport to) {
         readers = to;
     }
 
@@ -116,7 +116,7 @@
         dispatcher = by;
         older = true;
         told(ListKind.CACHED, readers());
-        by.inherit(before);
+        by.shareBudgetsWith(before);
     }
 
     /** The present dispatcher, and those of queries that are still open. */
@@ -131,12 +131,12 @@
     }
 
     @Override
-    public void onListed(Runnable action) {
+    public void onReadersUpdated(Runnable action) {
         onListed = action;
     }
 
     /** What reads changes of the list that have come and that the event loop has not got to; run before calls leave. */
-    public void onSending(Runnable action) {
+    public void onBeforeSend(Runnable action) {
         readList = action;
     }
 
@@ -160,7 +160,7 @@
         return list.values().stream().anyMatch(r -> r.status() == Status.READY);
     }
 
-    public boolean idle() {
+    public boolean isIdle() {
         return queries.values().stream().allMatch(q -> q.ended);
     }
 
@@ -172,9 +172,9 @@
     // ---- from the fronts
 
     /** Whatever clients would wait, all is answered by then, also what is open now: the program goes. */
-    public void endBy(long time) {
+    public void answerAllBy(long time) {
         endBy = time;
-        for (Open o : List.copyOf(queries.values())) {
+        for (OpenQuery o : List.copyOf(queries.values())) {
             if (!o.ended && o.query.deadline() > time) {
                 deadlines.cancel(o.lastWord);
                 o.lastWord = lastWord(o, time - LAST_WORD, Aggregator.Reason.SHUTDOWN);
@@ -183,55 +183,55 @@
     }
 
     /** Guards the rule that no query is lost, should the module not end it by itself. */
-    private Deadlines.Deadline lastWord(Open o, long at, Aggregator.Reason reason) {
-        return deadlines.at(at, () -> {
+    private Timers.Timer lastWord(OpenQuery o, long at, Aggregator.Reason reason) {
+        return deadlines.schedule(at, () -> {
             if (!o.ended) {
                 counters.add("queries.overdue");
-                end(o, new Ending(o.number, Dispatcher.Verdict.FAILED, false, 0, reason));
+                end(o, new FinalAnswer(o.number, Dispatcher.Verdict.FAILED, false, 0, reason));
                 carryOut(o.dispatcher, o.dispatcher.report(now(), o.number));
             }
         });
     }
 
     /**
-     * Takes a query; the client hears of its end. Returns its number for {@link #left}; 0, and nothing is taken or
-     * told, where a query of its id is open.
+     * Takes a query; the client hears of its end. Returns its number for {@link #clientLeft}; 0, and nothing is taken
+     * or told, where a query of its id is open.
      */
-    public long take(Query asked, Client client) {
-        catchUp();
-        Query query = asked.endedBy(endBy);
-        if (!commons.claim(query.id())) {
+    public long submit(Query asked, Client client) {
+        applyPendingUpdates();
+        Query query = asked.withDeadlineAtMost(endBy);
+        if (!commons.claimId(query.id())) {
             return 0;
         }
-        long number = commons.number();
+        long number = commons.nextQueryNumber();
         counters.add("queries.taken");
-        if (abandoned || !commons.enter(1 + query.parts().size(), site.maxOpen())) {
-            commons.release(query.id());
+        if (abandoned || !commons.tryAcquireCapacity(1 + query.parts().size(), site.maxOpen())) {
+            commons.releaseId(query.id());
             counters.add("queries.refused.max_open");
             counters.add("queries.refused");
             events.log("query", query.id(), "refused: MAX_OPEN");
             if (TRACED) {
                 trace("full query=%s class=%d parts=%d", query.id(), query.queryClass(), query.parts().size());
             }
-            client.refused(site.comeBack());
+            client.refused(site.retryAfter());
             return number;
         }
-        Open o = new Open(number, query, client, dispatcher, now());
+        OpenQuery o = new OpenQuery(number, query, client, dispatcher, now());
         queries.put(number, o);
         if (TRACED) {
             trace("taken query=%s class=%d tenant=%d parts=%d left=%d", query.id(), query.queryClass(), query.tenant(),
                     query.parts().size(), query.deadline() - now());
         }
         o.lastWord = lastWord(o, query.deadline() - LAST_WORD, Aggregator.Reason.TIME_OVER);
-        carryOut(dispatcher, dispatcher.pick(now(), number, query.queryClass(), query.tenant(), query.key(), query.retry(),
-                Math.max(0, query.deadline() - now()), query.parts()));
+        carryOut(dispatcher, dispatcher.submit(now(), number, query.queryClass(), query.tenant(), query.key(),
+                query.retry(), Math.max(0, query.deadline() - now()), query.parts()));
         return number;
     }
 
     /** The client of a query went away: nobody waits for its answer. */
-    public void left(long number) {
-        catchUp();
-        Open o = queries.get(number);
+    public void clientLeft(long number) {
+        applyPendingUpdates();
+        OpenQuery o = queries.get(number);
         if (o == null || o.ended) {
             return;
         }
@@ -250,18 +250,18 @@
     // ---- from the readers
 
     /** A call came back. value: what the reader gave, where it served. */
-    public void ended(Call call, Outcome outcome, String value, double[] load) {
+    public void callEnded(Call call, Outcome outcome, String value, double[] load) {
         if (call.ended) {
             return;
         }
-        catchUp();
+        applyPendingUpdates();
         if (call.ended) {
             return; // over what it caught up with
         }
         call.ended = true;
         deadlines.cancel(call.timeout);
         counters.add("attempts." + outcome.name().toLowerCase());
-        Open o = queries.get(call.send.query());
+        OpenQuery o = queries.get(call.send.query());
         o.calls.remove(key(call.send.part(), call.send.attempt()));
         if (outcome != Outcome.OK) {
             events.log("query", o.query.id(), "part", call.shard, "attempt", call.send.attempt(), "at",
@@ -277,14 +277,14 @@
             trace("attempt call=%s number=%d reader=%s outcome=%s took=%d", call.partId, call.send.attempt(),
                     call.send.reader(), outcome, elapsed);
         }
-        commons.ended(call.send, outcome, now(), elapsed, fresh);
+        commons.notifyEnded(call.send, outcome, now(), elapsed, fresh);
         carryOut(o.dispatcher, o.dispatcher.report(now(), call.send, outcome, elapsed, over, fresh));
         settle(o);
     }
 
     /** A probe this coordinator sent at that time came back. */
-    public void probed(String reader, Outcome outcome, long sentAt, double[] load) {
-        catchUp();
+    public void probeEnded(String reader, Outcome outcome, long sentAt, double[] load) {
+        applyPendingUpdates();
         counters.add("probes." + outcome.name().toLowerCase());
         deadlines.cancel(joined.remove(reader));
         long elapsed = elapsed(sentAt);
@@ -292,7 +292,7 @@
         if (TRACED) {
             trace("probe reader=%s outcome=%s took=%d load=%s", reader, outcome, elapsed, Arrays.toString(fresh));
         }
-        commons.probed(reader, outcome, now(), elapsed, fresh);
+        commons.notifyProbed(reader, outcome, now(), elapsed, fresh);
         told(reader, outcome, elapsed, fresh);
     }
 
@@ -303,24 +303,24 @@
     /** How long something took, without the time for which our own loop stood still: that is no reader's. */
     private long elapsed(long sentAt) {
         long took = now() - sentAt;
-        return Math.max(Math.min(took, 1), took - commons.stoodStill());
+        return Math.max(Math.min(took, 1), took - commons.stallUs());
     }
 
     /** What comes in now may have lain unread for long: a load that old is none. */
     private boolean stale() {
-        return commons.stoodStill() >= STALE;
+        return commons.stallUs() >= STALE;
     }
 
     // ---- from the others of the process
 
     /** What was told to all goes before what is read or decided here, and what others know before what is asked. */
-    public void catchUp() {
+    public void applyPendingUpdates() {
         if (carryingOut || catchingUp) {
             return;
         }
         catchingUp = true;
         try {
-            commons.catchUp();
+            commons.applyBroadcasts();
             hear();
         } finally {
             catchingUp = false;
@@ -328,20 +328,20 @@
     }
 
     private void hear() {
-        List<Word> words = commons.heard();
+        List<PeerUpdate> words = commons.pollPeerUpdates();
         if (words.isEmpty()) {
             return;
         }
-        dispatchers().forEach(d -> d.hear(words));
-        for (Word w : words) {
-            Deadlines.Deadline waits = w instanceof Word.Probed p ? joined.remove(p.reader()) : null;
+        dispatchers().forEach(d -> d.addPeerUpdates(words));
+        for (PeerUpdate w : words) {
+            Timers.Timer waits = w instanceof PeerUpdate.ProbeEnded p ? joined.remove(p.reader()) : null;
             deadlines.cancel(waits);
         }
     }
 
     /** Nothing happened here of late: takes what was told to all and what others said, and looks what it changes. */
     public void refresh() {
-        catchUp();
+        applyPendingUpdates();
         dispatchers().forEach(d -> carryOut(d, d.tick(now())));
     }
 
@@ -349,9 +349,9 @@
      * Ends all that is open as failed and takes nothing more: this coordinator's loop has come to grief. Nothing is
      * decided, for what decides may be what failed. Attempts out are given up.
      */
-    public void abandon(String why) {
+    public void failAll(String why) {
         abandoned = true;
-        for (Open o : List.copyOf(queries.values())) {
+        for (OpenQuery o : List.copyOf(queries.values())) {
             if (!o.ended) {
                 counters.add("queries.abandoned");
                 close(o);
@@ -360,8 +360,8 @@
             for (Call call : List.copyOf(o.calls.values())) {
                 call.ended = true;
                 deadlines.cancel(call.timeout);
-                quietly(() -> readers.giveUp(call));
-                commons.ended(call.send, Outcome.CANCELLED, now(), 0, NO_LOAD);
+                quietly(() -> readers.cancel(call));
+                commons.notifyEnded(call.send, Outcome.CANCELLED, now(), 0, NO_LOAD);
             }
             o.calls.clear();
         }
@@ -379,7 +379,7 @@
     // ---- from discovery
 
     @Override
-    public void listed(ListKind kind, List<ReaderEntry> entries) {
+    public void updateReaders(ListKind kind, List<ReaderEntry> entries) {
         if (abandoned) {
             return;
         }
@@ -391,7 +391,7 @@
                 if (!named.contains(id)) {
                     LOG.log(Level.INFO, "reader {0}: not in the list any more", id);
                     list.remove(id);
-                    readers.gone(id);
+                    readers.removeReader(id);
                 }
             }
         }
@@ -405,10 +405,10 @@
             }
             if (e.status() == Status.GONE) {
                 list.remove(e.id());
-                readers.gone(e.id());
+                readers.removeReader(e.id());
             } else {
                 list.put(e.id(), e);
-                readers.listed(e);
+                readers.updateReader(e);
             }
         }
         told(kind, entries);
@@ -421,7 +421,7 @@
 
     /** What waits for a connection to a reader that takes nothing new is not sent there when it comes up. */
     private void withdrawFromUnready() {
-        for (Open o : List.copyOf(queries.values())) {
+        for (OpenQuery o : List.copyOf(queries.values())) {
             withdrawUnsent(o, call -> readerStatus(call) != Status.READY);
         }
     }
@@ -433,10 +433,10 @@
     }
 
     /** Ends calls that still wait for a connection; without it a query that has ended would be sent on. */
-    private void withdrawUnsent(Open o, Predicate<Call> which) {
+    private void withdrawUnsent(OpenQuery o, Predicate<Call> which) {
         for (Call call : List.copyOf(o.calls.values())) {
             if (!call.ended && which.test(call) && (!call.handedOver || readers.withdraw(call))) {
-                ended(call, Outcome.MOOT, null, NO_LOAD);
+                callEnded(call, Outcome.MOOT, null, NO_LOAD);
             }
         }
     }
@@ -463,25 +463,25 @@
         if (abandoned) {
             return;
         }
-        decided.add(new Decided(by, decisions));
+        decided.add(new PendingDecisions(by, decisions));
         if (carryingOut) {
             return;
         }
         carryingOut = true;
         try {
-            for (Decided next = decided.poll(); next != null; next = decided.poll()) {
+            for (PendingDecisions next = decided.poll(); next != null; next = decided.poll()) {
                 Decisions d = next.what();
                 d.cancels().forEach(this::cancel);
                 d.closeIdle().forEach(readers::closeIdle);
                 d.sends().forEach(this::send);
                 d.probes().forEach(this::probe);
-                d.endings().forEach(e -> {
-                    Open o = queries.get(e.query());
+                d.finalAnswers().forEach(e -> {
+                    OpenQuery o = queries.get(e.query());
                     if (o != null && !o.ended) {
                         end(o, e);
                     }
                 });
-                wakeIn(next.by(), d.wakeIn());
+                wakeIn(next.by(), d.tickDelay());
             }
         } finally {
             carryingOut = false;
@@ -490,12 +490,12 @@
 
     /** Where another's question is out, its answer is waited for; it may be lost on the way to us. */
     private void probe(String reader) {
-        if (commons.mayProbe(reader)) {
+        if (commons.claimProbe(reader)) {
             counters.add("probes.sent");
             readers.probe(reader);
         } else if (!joined.containsKey(reader)) {
             counters.add("probes.joined");
-            joined.put(reader, deadlines.at(now() + site.connectTimeout(), () -> {
+            joined.put(reader, deadlines.schedule(now() + site.connectTimeout(), () -> {
                 joined.remove(reader);
                 told(reader, Outcome.TIMEOUT, site.connectTimeout(), NO_LOAD);
             }));
@@ -508,9 +508,9 @@
      */
     private void wakeIn(Dispatcher by, long delay) {
         if (delay > 0) {
-            deadlines.at(now() + delay, () -> {
+            deadlines.schedule(now() + delay, () -> {
                 if (!abandoned) {
-                    catchUp();
+                    applyPendingUpdates();
                     carryOut(by, by.tick(now()));
                 }
             });
@@ -518,7 +518,7 @@
     }
 
     private void send(Send s) {
-        Open o = queries.get(s.query());
+        OpenQuery o = queries.get(s.query());
         long now = now();
         Dispatcher.Part part = o == null ? null : o.query.parts().get(s.part());
         ReaderEntry reader = list.get(s.reader());
@@ -533,9 +533,9 @@
         Call call = new Call(o.query.id() + "." + part.shard(), part.shard(), s, o.query.text(), now, until,
                 reader.startedAt());
         o.calls.put(key(s.part(), s.attempt()), call);
-        call.timeout = deadlines.at(until, () -> {
-            readers.giveUp(call);
-            ended(call, Outcome.TIMEOUT, null, NO_LOAD);
+        call.timeout = deadlines.schedule(until, () -> {
+            readers.cancel(call);
+            callEnded(call, Outcome.TIMEOUT, null, NO_LOAD);
         });
         counters.add(s.attempt() == 0 ? "attempts.first" : "attempts.further");
         if (s.attempt() > 0) {
@@ -544,9 +544,9 @@
         if (TRACED) {
             trace("sent call=%s number=%d reader=%s until=%d", call.partId, s.attempt(), s.reader(), until - now);
         }
-        commons.sent(s, part, o.query.queryClass(), now, until);
+        commons.notifySent(s, part, o.query.queryClass(), now, until);
         if (unsent.isEmpty()) {
-            deadlines.at(now, this::handOver);
+            deadlines.schedule(now, this::handOver);
         }
         unsent.add(call);
     }
@@ -556,17 +556,17 @@
      * what was decided earlier in the turn.
      */
     private void handOver() {
-        catchUp();
+        applyPendingUpdates();
         try {
             for (Call call = unsent.poll(); call != null; call = unsent.poll()) {
-                if (!call.ended && clearToSend(call)) {
+                if (!call.ended && passesSendCheck(call)) {
                     call.handedOver = true;
                     readers.send(call);
                 }
             }
         } finally {
             if (!unsent.isEmpty()) {
-                deadlines.at(now(), this::handOver); // one that failed does not hold up the others
+                deadlines.schedule(now(), this::handOver); // one that failed does not hold up the others
             }
         }
     }
@@ -576,45 +576,45 @@
      *
      * @return whether it may leave; where it may not, it has ended
      */
-    public boolean clearToSend(Call call) {
+    public boolean passesSendCheck(Call call) {
         readList.run();
         if (call.ended) {
             return false; // over what was read
         }
-        Open o = queries.get(call.send.query());
-        Optional<SendCheck.Fault> fault = o == null || o.ended ? Optional.of(SendCheck.Fault.QUERY_OVER)
-                : SendCheck.fault(now(), facts(call, o));
+        OpenQuery o = queries.get(call.send.query());
+        Optional<SendCheck.WithholdReason> fault = o == null || o.ended
+                ? Optional.of(SendCheck.WithholdReason.QUERY_OVER) : SendCheck.reasonToWithhold(now(), facts(call, o));
         fault.ifPresent(f -> withhold(call, f));
         return fault.isEmpty();
     }
 
-    private SendCheck.Facts facts(Call call, Open o) {
-        return new SendCheck.Facts(call.deadline, readerStatus(call), o.dispatcher.begin(now(), call.send),
-                o.client.stillWaits());
+    private SendCheck.AttemptState facts(Call call, OpenQuery o) {
+        return new SendCheck.AttemptState(call.deadline, readerStatus(call), o.dispatcher.tryBegin(now(), call.send),
+                o.client.isConnected());
     }
 
-    private void withhold(Call call, SendCheck.Fault fault) {
+    private void withhold(Call call, SendCheck.WithholdReason fault) {
         counters.add("attempts.withheld." + fault.name().toLowerCase());
         events.log("part", call.partId, "attempt", call.send.attempt(), "not sent to", call.send.reader(), "any more:",
                 fault);
-        if (fault == SendCheck.Fault.CLIENT_LEFT) {
-            left(call.send.query());
+        if (fault == SendCheck.WithholdReason.CLIENT_LEFT) {
+            clientLeft(call.send.query());
         }
         if (!call.ended && (!call.handedOver || readers.withdraw(call))) {
-            ended(call, Outcome.MOOT, null, NO_LOAD);
+            callEnded(call, Outcome.MOOT, null, NO_LOAD);
         }
     }
 
     private void cancel(Cancel c) {
-        Open o = queries.get(c.query());
+        OpenQuery o = queries.get(c.query());
         Call call = o == null ? null : o.calls.get(key(c.part(), c.attempt()));
         if (call != null) {
-            readers.giveUp(call);
-            ended(call, Outcome.CANCELLED, null, NO_LOAD);
+            readers.cancel(call);
+            callEnded(call, Outcome.CANCELLED, null, NO_LOAD);
         }
     }
 
-    private void end(Open o, Ending e) {
+    private void end(OpenQuery o, FinalAnswer e) {
         close(o);
         String verdict = "queries." + e.verdict().name().toLowerCase();
         counters.add(verdict);
@@ -626,30 +626,30 @@
         if (TRACED) {
             trace("ended query=%s class=%d tenant=%d verdict=%s reason=%s left=%d values=%d out=%d come_back=%d",
                     o.query.id(), o.query.queryClass(), o.query.tenant(), e.verdict(), e.reason(),
-                    o.query.deadline() - now(), o.values.size(), o.calls.size(), e.comeBack());
+                    o.query.deadline() - now(), o.values.size(), o.calls.size(), e.retryAfter());
         }
         switch (e.verdict()) {
             case ANSWERED -> o.client.answered(e.whole(), o.values);
-            case REFUSED -> o.client.refused(e.comeBack());
+            case REFUSED -> o.client.refused(e.retryAfter());
             case FAILED -> o.client.failed("no whole answer in time");
         }
         withdrawUnsent(o, call -> true);
         settle(o);
     }
 
-    private long age(Open o) {
+    private long age(OpenQuery o) {
         return (now() - o.takenAt) / US_PER_MS;
     }
 
-    private void close(Open o) {
+    private void close(OpenQuery o) {
         o.ended = true;
-        commons.release(o.query.id());
-        commons.leave(1 + o.query.parts().size());
+        commons.releaseId(o.query.id());
+        commons.releaseCapacity(1 + o.query.parts().size());
         deadlines.cancel(o.lastWord);
     }
 
     /** Forgets a query that has ended, once none of its attempts is out. */
-    private void settle(Open o) {
+    private void settle(OpenQuery o) {
         if (o.ended && o.calls.isEmpty() && queries.remove(o.number) != null) {
             o.dispatcher.forget(o.number, o.query.parts().size());
         }
--- a/coordinator/src/main/java/burlford/core/Counters.java
+++ b/coordinator/src/main/java/burlford/core/Counters.java
@@ -52,14 +52,14 @@
     }
 
     /** Tells all counts, in no order. */
-    public void each(BiConsumer<String, Long> to) {
+    public void forEach(BiConsumer<String, Long> to) {
         counts.forEach((name, count) -> to.accept(name, count.get()));
     }
 
     /** One line each: the name, a space, the count. */
     public String text() {
         Map<String, Long> sorted = new TreeMap<>();
-        each(sorted::put);
+        forEach(sorted::put);
         return text(sorted);
     }
 
--- a/coordinator/src/main/java/burlford/core/EventLog.java
+++ b/coordinator/src/main/java/burlford/core/EventLog.java
@@ -6,11 +6,11 @@
 
 /**
  * Logs events of single queries, attempts and connections, so that an incident can be followed afterwards. Bounded: of
- * more events than {@link #MOST_PER_SECOND} the rest of that second's are only counted. Not thread-safe.
+ * more events than {@link #MAX_EVENTS_PER_SECOND} the rest of that second's are only counted. Not thread-safe.
  */
 public final class EventLog {
 
-    static final int MOST_PER_SECOND = 20;
+    static final int MAX_EVENTS_PER_SECOND = 20;
     private static final long SECOND_US = 1_000_000;
 
     private final Logger logger;
@@ -32,7 +32,7 @@
             return;
         }
         startSecond();
-        if (logged >= MOST_PER_SECOND) {
+        if (logged >= MAX_EVENTS_PER_SECOND) {
             omitted++;
             return;
         }
--- a/coordinator/src/main/java/burlford/core/Query.java
+++ b/coordinator/src/main/java/burlford/core/Query.java
@@ -19,7 +19,7 @@
         return arrivedAt + Math.max(1, waitMs * 1000 - ON_THE_WAY);
     }
 
-    Query endedBy(long time) {
+    Query withDeadlineAtMost(long time) {
         return deadline <= time ? this
                 : new Query(id, queryClass, tenant, key, retry, time, text, parts);
     }
--- a/coordinator/src/main/java/burlford/core/Census.java
+++ b/coordinator/src/main/java/burlford/core/ReaderConnectionLimits.java
@@ -1,21 +1,21 @@
 package burlford.core;
 
 /** How many connections to readers the process has; each coordinator has its own view, called on its event loop. */
-public interface Census {
+public interface ReaderConnectionLimits {
 
     void opened(String reader);
 
     void closed(String reader);
 
     /** All that are open. */
-    int open();
+    int openCount();
 
     /** One more to this reader is within bounds, where this coordinator has so many itself. */
     boolean mayOpen(String reader, int own);
 
     /** That of a process with one coordinator: what it needs it opens. */
-    static Census alone() {
-        return new Census() {
+    static ReaderConnectionLimits singleLane() {
+        return new ReaderConnectionLimits() {
             private int open;
 
             @Override
@@ -29,7 +29,7 @@
             }
 
             @Override
-            public int open() {
+            public int openCount() {
                 return open;
             }
 
--- a/coordinator/src/main/java/burlford/core/Readers.java
+++ b/coordinator/src/main/java/burlford/core/ReaderTransport.java
@@ -1,13 +1,13 @@
 package burlford.core;
 
 /** What the coordinator asks of the readers' side. Results come back through the coordinator's calls. */
-public interface Readers {
+public interface ReaderTransport {
 
     /** Sends one part. The call ends by one report to the coordinator, unless it is given up first. */
     void send(Call call);
 
     /** Gives a call up: the reader is told, and nothing more is reported of it. */
-    void giveUp(Call call);
+    void cancel(Call call);
 
     /** Takes back a call of which nothing was written yet; false: it may be on its way. */
     boolean withdraw(Call call);
@@ -18,7 +18,7 @@
     void closeIdle(String reader);
 
     /** The list changed: whom to reach where. */
-    void listed(ReaderEntry entry);
+    void updateReader(ReaderEntry entry);
 
-    void gone(String reader);
+    void removeReader(String reader);
 }
--- a/coordinator/src/main/java/burlford/core/Alone.java
+++ b/coordinator/src/main/java/burlford/core/SingleLaneState.java
@@ -3,14 +3,14 @@
 import burlford.policy.Aggregator.Outcome;
 import burlford.policy.Dispatcher.Part;
 import burlford.policy.Dispatcher.Send;
-import burlford.policy.Word;
+import burlford.policy.PeerUpdate;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.LongSupplier;
 
 /** The commons of a coordinator that is the only one of its process. */
-public final class Alone implements Commons {
+public final class SingleLaneState implements SharedState {
 
     private final Set<String> ids = new HashSet<>();
     private int open;
@@ -18,25 +18,25 @@
     private final LongSupplier stoodStill;
 
     /** stoodStill: by how many microseconds what is read now may be older than it looks. */
-    public Alone(LongSupplier stoodStill) {
+    public SingleLaneState(LongSupplier stoodStill) {
         this.stoodStill = stoodStill;
     }
 
     @Override
-    public void catchUp() { }
+    public void applyBroadcasts() { }
 
     @Override
-    public boolean claim(String id) {
+    public boolean claimId(String id) {
         return ids.add(id);
     }
 
     @Override
-    public void release(String id) {
+    public void releaseId(String id) {
         ids.remove(id);
     }
 
     @Override
-    public boolean enter(int units, int most) {
+    public boolean tryAcquireCapacity(int units, int most) {
         if (open + units > most) {
             return false;
         }
@@ -45,36 +45,36 @@
     }
 
     @Override
-    public void leave(int units) {
+    public void releaseCapacity(int units) {
         open -= units;
     }
 
     @Override
-    public long number() {
+    public long nextQueryNumber() {
         return ++lastNumber;
     }
 
     @Override
-    public boolean mayProbe(String reader) {
+    public boolean claimProbe(String reader) {
         return true;
     }
 
     @Override
-    public void sent(Send send, Part part, int queryClass, long at, long until) { }
+    public void notifySent(Send send, Part part, int queryClass, long at, long until) { }
 
     @Override
-    public void ended(Send send, Outcome outcome, long at, long elapsed, double[] load) { }
+    public void notifyEnded(Send send, Outcome outcome, long at, long elapsed, double[] load) { }
 
     @Override
-    public void probed(String reader, Outcome outcome, long at, long elapsed, double[] load) { }
+    public void notifyProbed(String reader, Outcome outcome, long at, long elapsed, double[] load) { }
 
     @Override
-    public List<Word> heard() {
+    public List<PeerUpdate> pollPeerUpdates() {
         return List.of();
     }
 
     @Override
-    public long stoodStill() {
+    public long stallUs() {
         return stoodStill.getAsLong();
     }
 }
--- a/coordinator/src/main/java/burlford/core/Site.java
+++ b/coordinator/src/main/java/burlford/core/Site.java
@@ -10,13 +10,13 @@
  */
 public record Site(List<String> classes, List<String> tenants, List<String> zones, int shards, int cells, int reach,
         int multiplex, long connectTimeout, long connIdle, int maxOpen, List<String> reportColumns,
-        long longestDeadline, long comeBack) {
+        long longestDeadline, long retryAfter) {
 
     /** A setting is missing or makes no sense; the message names its key. */
-    public static final class BadSetting extends RuntimeException {
+    public static final class InvalidSettingException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public BadSetting(String message) {
+        public InvalidSettingException(String message) {
             super(message);
         }
     }
@@ -24,7 +24,8 @@
     public static Site of(Map<String, String> settings) {
         for (String step : list(settings.getOrDefault("familyInfo.followUp", ""))) {
             if (number("familyInfo.followUp", step) > 0) {
-                throw new BadSetting("setting familyInfo.followUp: a second step is not served on sockets");
+                throw new InvalidSettingException(
+                        "setting familyInfo.followUp: a second step is not served on sockets");
             }
         }
         return new Site(names(settings, "classes"), names(settings, "tenants"),
@@ -33,7 +34,7 @@
                 count(settings, "allowed.multiplex"), count(settings, "allowed.connectTimeout"),
                 count(settings, "allowed.connIdle"), count(settings, "allowed.maxOpen"),
                 list(settings.getOrDefault("feedback.columns", "")), longestDeadline(settings),
-                comeBack(settings));
+                retryAfter(settings));
     }
 
     public boolean holds(int cell, int shard) {
@@ -46,7 +47,7 @@
         for (int i = 0; i < count; i++) {
             String name = settings.get(key + "." + i + ".name");
             if (name == null) {
-                throw new BadSetting("setting " + key + "." + i + ".name is missing");
+                throw new InvalidSettingException("setting " + key + "." + i + ".name is missing");
             }
             names.add(name);
         }
@@ -54,7 +55,7 @@
     }
 
     /** What a client turned away for want of room is told to wait: the most that may be told; 0 where nothing may. */
-    private static long comeBack(Map<String, String> settings) {
+    private static long retryAfter(Map<String, String> settings) {
         return "true".equals(settings.get("allowed.retryAfter"))
                 ? (long) number("allowed.maxRetryAfter", settings.getOrDefault("allowed.maxRetryAfter", "0")) : 0;
     }
@@ -71,11 +72,11 @@
     private static int count(Map<String, String> settings, String key) {
         String value = settings.get(key);
         if (value == null) {
-            throw new BadSetting("setting " + key + " is missing");
+            throw new InvalidSettingException("setting " + key + " is missing");
         }
         double number = number(key, value);
         if (number < 1 || number > Integer.MAX_VALUE || number != Math.rint(number)) {
-            throw new BadSetting("setting " + key + " is not a whole number above 0: " + value);
+            throw new InvalidSettingException("setting " + key + " is not a whole number above 0: " + value);
         }
         return (int) number;
     }
@@ -84,7 +85,7 @@
         try {
             return Double.parseDouble(value.trim());
         } catch (NumberFormatException e) {
-            throw new BadSetting("setting " + key + " is not a number: " + value);
+            throw new InvalidSettingException("setting " + key + " is not a number: " + value);
         }
     }
 }
--- a/coordinator/src/main/java/burlford/daemon/Configuration.java
+++ b/coordinator/src/main/java/burlford/daemon/Configuration.java
@@ -1,6 +1,6 @@
 package burlford.daemon;
 
-import burlford.discovery.ListReader;
+import burlford.discovery.ReaderListParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -21,112 +21,114 @@
  * discovery: null where an inventory takes its place.
  */
 public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, JsonNode settings, ListReader.Listing known) {
+        int maxSockets, JsonNode settings, ReaderListParser.ReaderList lastKnownReaders) {
 
     private static final int SOCKETS = 1024;
     /** Settings that differ from one coordinator to the next. */
     private static final List<String> OWN = List.of("position", "zone");
 
     /** The configuration cannot be used; the message says where and why. */
-    public static final class Bad extends Exception {
+    public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Bad(String message) {
+        public InvalidConfigurationException(String message) {
             super(message);
         }
     }
 
-    public static Configuration load(Map<String, String> environment) throws Bad {
+    public static Configuration load(Map<String, String> environment) throws InvalidConfigurationException {
         return load(environment, false);
     }
 
     /** The file anew, while the program runs: now its own discovery goes before PROXY_DISCOVERY. */
-    static Configuration reload(Map<String, String> environment) throws Bad {
+    static Configuration reload(Map<String, String> environment) throws InvalidConfigurationException {
         return load(environment, true);
     }
 
-    private static Configuration load(Map<String, String> environment, boolean again) throws Bad {
+    private static Configuration load(Map<String, String> environment, boolean again)
+            throws InvalidConfigurationException {
         String file = environment.get("PROXY_CONFIG");
         if (file == null) {
-            throw new Bad("PROXY_CONFIG names no configuration file");
+            throw new InvalidConfigurationException("PROXY_CONFIG names no configuration file");
         }
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(Files.readAllBytes(Path.of(file)));
         } catch (JsonProcessingException e) {
-            throw new Bad(file + " line " + (e.getLocation() == null ? 1 : e.getLocation().getLineNr()) + ": "
-                    + e.getOriginalMessage());
+            throw new InvalidConfigurationException(file + " line " + (e.getLocation() == null ? 1 : e.getLocation()
+                    .getLineNr()) + ": " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new Bad(file + " cannot be read: " + e);
+            throw new InvalidConfigurationException(file + " cannot be read: " + e);
         }
         if (root == null || !root.isObject()) {
-            throw new Bad(file + " is not a JSON object");
+            throw new InvalidConfigurationException(file + " is not a JSON object");
         }
         return read(file, root, environment, again);
     }
 
     private static Configuration read(String file, JsonNode root, Map<String, String> environment, boolean again)
-            throws Bad {
-        ListReader.Listing known = null;
+            throws InvalidConfigurationException {
+        ReaderListParser.ReaderList known = null;
         if (root.hasNonNull("known")) {
             try {
-                known = ListReader.read(root.get("known"),
+                known = ReaderListParser.parse(root.get("known"),
                         root.at("/settings/familyInfo/sets").asInt(Integer.MAX_VALUE));
-            } catch (ListReader.BadList e) {
-                throw new Bad(file + " known: " + e.getMessage());
+            } catch (ReaderListParser.MalformedListException e) {
+                throw new InvalidConfigurationException(file + " known: " + e.getMessage());
             }
         }
         if (!root.path("settings").isObject()) {
-            throw new Bad(file + " settings is missing");
+            throw new InvalidConfigurationException(file + " settings is missing");
         }
         String seed = root.path("seed").asText("0");
         long number;
         try {
             number = Long.parseUnsignedLong(seed, 16);
         } catch (NumberFormatException e) {
-            throw new Bad(file + " seed is not a hexadecimal number: " + seed);
+            throw new InvalidConfigurationException(file + " seed is not a hexadecimal number: " + seed);
         }
         String own = root.path("discovery").asText("");
         String discovery = again && !own.isEmpty() ? own : environment.getOrDefault("PROXY_DISCOVERY", own);
         return new Configuration(environment.getOrDefault("PROXY_NAME", root.path("name").asText("burlford")),
-                address(file, "listen", environment.getOrDefault("PROXY_LISTEN", root.path("listen").asText(""))),
-                discovery.isEmpty() ? null : address(file, "discovery", discovery),
+                parseAddress(file, "listen", environment.getOrDefault("PROXY_LISTEN", root.path("listen").asText(""))),
+                discovery.isEmpty() ? null : parseAddress(file, "discovery", discovery),
                 number, root.path("limits").path("sockets").asInt(SOCKETS), root.get("settings"), known);
     }
 
     /** The settings, flat, as path=value. */
-    public Map<String, String> flat() {
+    public Map<String, String> flatSettings() {
         Map<String, String> flat = new TreeMap<>();
         flatten("", settings, flat);
         return flat;
     }
 
     /** The same coordinator under other settings; what is its own among them stays. */
-    Configuration with(String what, String other) throws Bad {
+    Configuration with(String what, String other) throws InvalidConfigurationException {
         JsonNode node;
         try {
             node = new ObjectMapper().readTree(other);
         } catch (JsonProcessingException e) {
-            throw new Bad(what + " line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
+            throw new InvalidConfigurationException(what + " line " + e.getLocation().getLineNr() + ": "
+                    + e.getOriginalMessage());
         }
         if (!(node instanceof ObjectNode object)) {
-            throw new Bad(what + " is not a JSON object");
+            throw new InvalidConfigurationException(what + " is not a JSON object");
         }
         for (String own : OWN) {
             if (settings.has(own)) {
                 object.set(own, settings.get(own));
             }
         }
-        return new Configuration(name, listen, discovery, seed, sockets, object, known);
+        return new Configuration(name, listen, discovery, seed, maxSockets, object, lastKnownReaders);
     }
 
     /** What of a file read anew can be in force without a start. */
     Configuration with(Configuration anew) {
-        return new Configuration(name, listen, anew.discovery == null ? discovery : anew.discovery, seed, anew.sockets,
-                anew.settings, known);
+        return new Configuration(name, listen, anew.discovery == null ? discovery : anew.discovery, seed,
+                anew.maxSockets, anew.settings, lastKnownReaders);
     }
 
-    static InetSocketAddress address(String file, String key, String text) throws Bad {
+    static InetSocketAddress parseAddress(String file, String key, String text) throws InvalidConfigurationException {
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0 && isAddress(text.substring(0, colon))) {
@@ -135,7 +137,7 @@
         } catch (IllegalArgumentException e) {
             // told below
         }
-        throw new Bad(file + " " + key + " is not host:port: " + text);
+        throw new InvalidConfigurationException(file + " " + key + " is not host:port: " + text);
     }
 
     /** Names are not looked up: there is no one to ask. */
--- a/coordinator/src/main/java/burlford/daemon/Daemon.java
+++ b/coordinator/src/main/java/burlford/daemon/Daemon.java
@@ -1,6 +1,6 @@
 package burlford.daemon;
 
-import burlford.core.Roster;
+import burlford.core.ReaderRegistry;
 import burlford.discovery.Watch;
 import burlford.inventory.Inventory;
 import burlford.net.AcceptErrors;
@@ -41,32 +41,35 @@
     private static final long LONGEST_WAIT_FOR_LIST = 1_000_000;
 
     private final Map<String, String> environment;
-    private final Shared shared;
-    private final Turns turns;
-    private final Serving serving;
+    private final DaemonContext shared;
+    private final EventLoopDriver turns;
+    private final LaneGroup serving;
     private final List<Channel> listeners = new ArrayList<>();
     private Watch watch;
 
-    private Daemon(Map<String, String> environment, Path operatorFile) throws Configuration.Bad {
+    private Daemon(Map<String, String> environment, Path operatorFile)
+            throws Configuration.InvalidConfigurationException {
         this.environment = environment;
-        shared = new Shared(Configuration.load(environment), operatorFile);
-        turns = new Turns(Thread.currentThread(), shared.clock);
-        OperatorFile operator = shared.setup().operator();
-        serving = operator.cores() == 1 ? new OneLane(turns, shared) : new Lanes(turns, shared, operator.cores());
+        shared = new DaemonContext(Configuration.load(environment), operatorFile);
+        turns = new EventLoopDriver(Thread.currentThread(), shared.clock);
+        OperatorFile operator = shared.parsedConfiguration().operatorFile();
+        serving = operator.cores() == 1 ? new SingleLaneGroup(turns, shared) : new MultiLaneGroup(turns, shared,
+                operator.cores());
         if (shared.configuration().discovery() == null && operator.inventory() == null && operator.store() == null) {
-            throw new Configuration.Bad("neither discovery, an inventory nor a store names the readers");
+            throw new Configuration.InvalidConfigurationException(
+                    "neither discovery, an inventory nor a store names the readers");
         }
     }
 
     /** Runs until a signal has stopped it and all is answered. */
     public static void run(Map<String, String> environment, Path operatorFile)
-            throws IOException, Configuration.Bad, Inventory.Bad {
+            throws IOException, Configuration.InvalidConfigurationException, Inventory.InvalidInventoryException {
         MICRORAFT.setLevel(Level.WARNING);
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         new Daemon(environment, operatorFile).run();
     }
 
-    private void run() throws IOException, Inventory.Bad {
+    private void run() throws IOException, Inventory.InvalidInventoryException {
         // Before anyone can know that we are there: a signal sent as soon as we listen must not kill us.
         for (String name : new String[] {"TERM", "INT"}) {
             Signal.handle(new Signal(name), s -> {
@@ -77,18 +80,18 @@
         }
         Signal.handle(new Signal("HUP"), s -> reload());
         Configuration configuration = shared.configuration();
-        OperatorFile operator = shared.setup().operator();
-        Roster roster = serving.roster();
+        OperatorFile operator = shared.parsedConfiguration().operatorFile();
+        ReaderRegistry roster = serving.readerRegistry();
         Inventory inventory = operator.inventory() == null ? null
                 : Inventory.load(operator.inventory(), roster.site().cells());
         Store store = store(operator.store());
-        Records records = new Records(store, roster, turns.deadlines, new InForce(), operator.inventory() == null
-                && configuration.discovery() == null);
+        StoreSynchronizer records = new StoreSynchronizer(store, roster, turns.timers, new DaemonSettings(),
+                operator.inventory() == null && configuration.discovery() == null);
         records.start();
         Logger.getLogger("burlford.trace").log(Level.FINE, "settings {0}", shared.configuration().settings());
         if (operator.store() != null) {
-            Map<String, InetSocketAddress> doors = operator.store().admins();
-            StoreFront door = new StoreFront(store, doors, turns.counters, records::fault);
+            Map<String, InetSocketAddress> doors = operator.store().adminAddresses();
+            StoreFront door = new StoreFront(store, doors, turns.counters, records::rejectionReason);
             listen("store", doors.get(operator.store().member()), b -> b.childHandler(new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel c) {
@@ -98,20 +101,20 @@
             }));
         }
         if (inventory != null) {
-            roster.listed(ListKind.WHOLE, inventory.entries());
+            roster.updateReaders(ListKind.WHOLE, inventory.readerEntries());
         } else if (configuration.discovery() != null) {
-            watch = new Watch(serving.out(), configuration.discovery(), roster, turns.deadlines);
-            serving.onSending(watch::readNow);
-            watch.start(configuration.known());
+            watch = new Watch(serving.outboundBootstrap(), configuration.discovery(), roster, turns.timers);
+            serving.onBeforeSend(watch::readNow);
+            watch.start(configuration.lastKnownReaders());
             awaitList();
         }
         // Last: what comes from here on is ours to answer, and reading the list took half a second of a short core.
-        listen("platform", configuration.listen(), b -> serving.accept(b, Door.PLATFORM));
+        listen("platform", configuration.listen(), b -> serving.configureListener(b, FrontType.PLATFORM));
         if (operator.search() != null) {
-            listen("search", operator.search().listen(), b -> serving.accept(b, Door.SEARCH));
+            listen("search", operator.search().listen(), b -> serving.configureListener(b, FrontType.SEARCH));
         }
-        while (!serving.over()) {
-            turns.turn();
+        while (!serving.isDrained()) {
+            turns.runIteration();
         }
         listeners.forEach(Channel::close);
         if (watch != null) {
@@ -126,37 +129,37 @@
     /** What discovery has counts as notified from the start; the list known from before may be old. */
     private void awaitList() {
         long until = turns.now() + LONGEST_WAIT_FOR_LIST;
-        turns.deadlines.at(until, () -> { });
+        turns.timers.schedule(until, () -> { });
         while (!watch.isCurrent() && turns.now() < until) {
-            turns.turn();
+            turns.runIteration();
         }
     }
 
     // ---- settings
 
     /** The settings as the store's records see them. */
-    private final class InForce implements Records.Settings {
+    private final class DaemonSettings implements StoreSynchronizer.ActiveSettings {
         @Override
-        public String own() {
+        public String currentJson() {
             return shared.configuration().settings().toPrettyString();
         }
 
         @Override
-        public void check(String settings) throws Configuration.Bad {
-            shared.read(shared.configuration().with("settings", settings));
+        public void validate(String settings) throws Configuration.InvalidConfigurationException {
+            shared.parse(shared.configuration().with("settings", settings));
         }
 
         @Override
-        public void apply(String settings) throws Configuration.Bad {
+        public void apply(String settings) throws Configuration.InvalidConfigurationException {
             adopt(shared.configuration().with("settings", settings));
         }
     }
 
     /** Puts it in force; thrown is what cannot be, and then nothing of it is. */
-    private void adopt(Configuration to) throws Configuration.Bad {
-        Shared.Setup setup = shared.read(to);
+    private void adopt(Configuration to) throws Configuration.InvalidConfigurationException {
+        DaemonContext.ParsedConfiguration setup = shared.parse(to);
         boolean changed = !to.settings().equals(shared.configuration().settings());
-        shared.adopt(setup);
+        shared.apply(setup);
         if (changed) {
             serving.reconfigure(setup);
             turns.counters.add("configurations");
@@ -164,12 +167,14 @@
         }
     }
 
-    /** SIGHUP: reads the file in the signal's thread, one at a time, so that the last to be read is the last in force. */
+    /**
+     * SIGHUP: reads the file in the signal's thread, one at a time, so that the last to be read is the last in force.
+     */
     private synchronized void reload() {
         try {
             Configuration anew = Configuration.reload(environment);
             turns.loop.execute(() -> reloaded(anew));
-        } catch (Configuration.Bad e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             LOG.log(Level.WARNING, "the configuration stays as it was: {0}", e.getMessage());
         }
     }
@@ -179,23 +184,23 @@
         try {
             Configuration held = shared.configuration();
             Configuration to = held.with(anew);
-            adopt(shared.setup().operator().store() == null ? to
+            adopt(shared.parsedConfiguration().operatorFile().store() == null ? to
                     : to.with("settings", held.settings().toString()));
-            serving.limit(shared.configuration());
+            serving.updateLimits(shared.configuration());
             if (watch != null) {
-                watch.follow(shared.configuration().discovery());
+                watch.changeAddress(shared.configuration().discovery());
             }
             turns.counters.add("reloads");
             LOG.info("the configuration was read anew");
-        } catch (Configuration.Bad e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             LOG.log(Level.WARNING, "the configuration stays as it was: {0}", e.getMessage());
         }
     }
 
     private void drain(long toldAt) {
-        if (!shared.draining()) {
+        if (!shared.isDraining()) {
             LOG.info("shutting down: serving until all is answered");
-            shared.drain(toldAt);
+            shared.scheduleShutdown(toldAt);
             serving.drain();
         }
     }
@@ -203,14 +208,15 @@
     // ---- sockets
 
     /** On the platform, and wherever no members are named: alone and in memory, without a socket. */
-    private Store store(OperatorFile.Replicated r) throws IOException {
+    private Store store(OperatorFile.StoreSettings r) throws IOException {
         if (r == null) {
             return new MemoryStore(shared.configuration().name());
         }
-        ReplicatedStore store = new ReplicatedStore(turns.loop, serving.out(), turns.deadlines, turns.clock, r.member(),
-                r.directory(), r.peers());
-        turns.bound(store.start(new ServerBootstrap().group(turns.loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true), r.peers().get(r.member())), r.peers().get(r.member()));
+        ReplicatedStore store = new ReplicatedStore(turns.loop, serving.outboundBootstrap(), turns.timers, turns.clock,
+                r.member(), r.directory(), r.peerAddresses());
+        turns.awaitBound(store.start(new ServerBootstrap().group(turns.loop).channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true), r.peerAddresses().get(r.member())), r.peerAddresses()
+                .get(r.member()));
         return store;
     }
 
@@ -220,9 +226,9 @@
                 .childOption(ChannelOption.TCP_NODELAY, true);
         taker.accept(listener);
         ChannelFuture bound = turns.bind(listener, at);
-        bound.channel().pipeline().addFirst(new BacklogAge(turns::unreadSince), new AcceptErrors(
-                (wait, action) -> turns.deadlines.at(turns.now() + wait, action),
-                () -> turns.counters.add("clients.accepts.failed"), serving::makeRoom));
+        bound.channel().pipeline().addFirst(new BacklogAge(turns::earliestArrivalAt), new AcceptErrors(
+                (wait, action) -> turns.timers.schedule(turns.now() + wait, action),
+                () -> turns.counters.add("clients.accepts.failed"), serving::evictIdleConnection));
         LOG.log(Level.INFO, "{0} serves {1} at {2}", new Object[] {shared.configuration().name(), what,
             NetUtil.toSocketAddressString((InetSocketAddress) bound.channel().localAddress())});
         listeners.add(bound.channel());
--- a/coordinator/src/main/java/burlford/daemon/Shared.java
+++ b/coordinator/src/main/java/burlford/daemon/DaemonContext.java
@@ -2,8 +2,8 @@
 
 import burlford.core.Site;
 import burlford.policy.Aggregator;
-import burlford.settings.BadInput;
-import burlford.settings.Settings;
+import burlford.settings.InputFormatException;
+import burlford.settings.SettingsParser;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,47 +15,48 @@
  * What all loops of the process share: the clock, the configuration and settings in force, and when the process
  * stops. The thread that started the process writes it; all read it.
  */
-final class Shared {
+final class DaemonContext {
 
-    /** Settings checked and read; nothing of them is in force before {@link #adopt}. */
-    record Setup(Configuration configuration, Site site, Aggregator.Settings module, OperatorFile operator) { }
+    /** Settings checked and read; nothing of them is in force before {@link #apply}. */
+    record ParsedConfiguration(Configuration configuration, Site site, Aggregator.Settings moduleSettings,
+            OperatorFile operatorFile) { }
 
     final LongSupplier clock = startClock();
     private final Path operatorPath;
     private final byte[] operatorText;
-    private volatile Setup inForce;
+    private volatile ParsedConfiguration inForce;
     private volatile ShutdownSchedule stop;
 
-    Shared(Configuration configuration, Path operatorFile) throws Configuration.Bad {
+    DaemonContext(Configuration configuration, Path operatorFile) throws Configuration.InvalidConfigurationException {
         operatorPath = operatorFile;
         try {
             operatorText = operatorFile == null ? null : Files.readAllBytes(operatorFile);
         } catch (IOException e) {
-            throw new Configuration.Bad(operatorFile + " cannot be read: " + e);
+            throw new Configuration.InvalidConfigurationException(operatorFile + " cannot be read: " + e);
         }
-        inForce = read(configuration);
+        inForce = parse(configuration);
     }
 
     /** What a configuration comes to. */
-    Setup read(Configuration configuration) throws Configuration.Bad {
-        Map<String, String> flat = configuration.flat();
+    ParsedConfiguration parse(Configuration configuration) throws Configuration.InvalidConfigurationException {
+        Map<String, String> flat = configuration.flatSettings();
         String settings = flat.entrySet().stream().map(e -> e.getKey() + "=" + e.getValue())
                 .collect(Collectors.joining("\n"));
         try {
-            Aggregator.Settings module = Settings.parse(settings);
+            Aggregator.Settings module = SettingsParser.parse(settings);
             Site site = Site.of(flat);
-            return new Setup(configuration, site, module, operatorText == null ? OperatorFile.NONE
+            return new ParsedConfiguration(configuration, site, module, operatorText == null ? OperatorFile.NONE
                     : OperatorFile.read(operatorPath, operatorText, configuration.name(), site));
-        } catch (Site.BadSetting | BadInput e) {
-            throw new Configuration.Bad("settings: " + e.getMessage());
+        } catch (Site.InvalidSettingException | InputFormatException e) {
+            throw new Configuration.InvalidConfigurationException("settings: " + e.getMessage());
         }
     }
 
-    void adopt(Setup setup) {
+    void apply(ParsedConfiguration setup) {
         inForce = setup;
     }
 
-    Setup setup() {
+    ParsedConfiguration parsedConfiguration() {
         return inForce;
     }
 
@@ -77,35 +78,35 @@
     // ---- stopping
 
     /** toldAt: when the process was told to stop. */
-    void drain(long toldAt) {
+    void scheduleShutdown(long toldAt) {
         stop = ShutdownSchedule.of(toldAt, inForce.site().longestDeadline());
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return stop != null;
     }
 
     /** Connections end behind their answers. */
-    boolean handingOver() {
+    boolean isClosingAfterReply() {
         ShutdownSchedule s = stop;
-        return s != null && now() >= s.handOverAt();
+        return s != null && now() >= s.closeAfterReplyAt();
     }
 
     /** When the process may leave, once no client is connected; Long.MAX_VALUE while it is not to stop. */
-    long leaveAt() {
+    long earliestExitAt() {
         ShutdownSchedule s = stop;
-        return s == null ? Long.MAX_VALUE : s.leaveAt();
+        return s == null ? Long.MAX_VALUE : s.earliestExitAt();
     }
 
     /** When it leaves though clients are connected. */
-    long stopAt() {
+    long exitDespiteClientsAt() {
         ShutdownSchedule s = stop;
-        return s == null ? Long.MAX_VALUE : s.stopAt();
+        return s == null ? Long.MAX_VALUE : s.exitDespiteClientsAt();
     }
 
     /** When all is to be answered, whatever clients would wait. */
-    long endBy() {
+    long answerAllBy() {
         ShutdownSchedule s = stop;
-        return s == null ? Long.MAX_VALUE : s.endBy();
+        return s == null ? Long.MAX_VALUE : s.answerAllBy();
     }
 }
--- a/coordinator/src/main/java/burlford/daemon/Turns.java
+++ b/coordinator/src/main/java/burlford/daemon/EventLoopDriver.java
@@ -1,7 +1,7 @@
 package burlford.daemon;
 
 import burlford.core.Counters;
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFuture;
@@ -18,9 +18,10 @@
  * One event loop, turned by hand on one thread: each turn waits for the network no longer than until the next
  * deadline, and sweeps the deadlines after it.
  */
-final class Turns {
+final class EventLoopDriver {
 
-    private static final Logger LOG = Logger.getLogger(Turns.class.getName());
+    // Name kept for existing logging configurations.
+    private static final Logger LOG = Logger.getLogger("burlford.daemon.Turns");
     /** A longer wait would hide that the process was held up while it waited. */
     private static final long LONGEST_WAIT = 50_000;
     private static final long LONGEST_WAKE_UP = 20_000;
@@ -33,7 +34,7 @@
     private static final long LONG_TURN = 100_000;
 
     final ManualIoEventLoop loop;
-    final Deadlines deadlines = new Deadlines();
+    final Timers timers = new Timers();
     final Counters counters = new Counters();
     final LongSupplier clock;
     private final LongSupplier source;
@@ -48,7 +49,7 @@
     private long spent;
 
     /** thread: the one that turns it; null: the first that does. clock: microseconds. */
-    Turns(Thread thread, LongSupplier clock) {
+    EventLoopDriver(Thread thread, LongSupplier clock) {
         this.loop = new ManualIoEventLoop(thread, NioIoHandler.newFactory());
         this.source = clock;
         this.clock = this::now;
@@ -62,10 +63,10 @@
     }
 
     /**
-     * Since when what is read now may have lain unread; a request counts from then, or a loop that was held up would give
-     * it time that its client has not. Exact to some 50 ms, within what is allowed of a deadline.
+     * Since when what is read now may have lain unread; a request counts from then, or a loop that was held up would
+     * give it time that its client has not. Exact to some 50 ms, within what is allowed of a deadline.
      */
-    long unreadSince() {
+    long earliestArrivalAt() {
         now();
         if (pollWait == 0) {
             return previousPoll;
@@ -79,17 +80,17 @@
     }
 
     /**
-     * By how much what is read now may be older than it looks, where the loop was busy or the process held up for long; 0
-     * where it was not. That time is no reader's.
+     * By how much what is read now may be older than it looks, where the loop was busy or the process held up for long;
+     * 0 where it was not. That time is no reader's.
      */
-    long stoodStill() {
-        long age = now() - unreadSince();
+    long stallUs() {
+        long age = now() - earliestArrivalAt();
         return age >= LONG_TURN ? age : 0;
     }
 
-    void turn() {
+    void runIteration() {
         polledAt = now();
-        long wait = spent > SHORT_TURN ? 0 : Math.min(deadlines.next() - polledAt, LONGEST_WAIT);
+        long wait = spent > SHORT_TURN ? 0 : Math.min(timers.nextDueAt() - polledAt, LONGEST_WAIT);
         pollWait = Math.max(0, wait);
         int handled = poll();
         long told = told(handled);
@@ -116,7 +117,9 @@
         }
     }
 
-    /** When the poll told what had come, at the earliest. One that was interrupted tells nothing, though something came. */
+    /**
+     * When the poll told what had come, at the earliest. One that was interrupted tells nothing, though something came.
+     */
     private long told(int handled) {
         if (handled == 0) {
             firstLook = now();
@@ -126,7 +129,7 @@
 
     private void sweep() {
         try {
-            deadlines.sweep(now());
+            timers.runDue(now());
         } catch (RuntimeException e) {
             // Of one query or peer, most likely: the others must not go down with it.
             counters.add("faults");
@@ -149,7 +152,7 @@
             loop.run(TimeUnit.MICROSECONDS.toNanos(BIND_RETRY));
             binding = listener.bind(at);
         }
-        bound(binding, at);
+        awaitBound(binding, at);
         return binding;
     }
 
@@ -158,7 +161,7 @@
     }
 
     /** Turns until a listener is bound. */
-    void bound(ChannelFuture binding, SocketAddress at) throws IOException {
+    void awaitBound(ChannelFuture binding, SocketAddress at) throws IOException {
         while (!binding.isDone()) {
             loop.run(TimeUnit.MILLISECONDS.toNanos(10));
         }
--- a/coordinator/src/main/java/burlford/daemon/Lane.java
+++ b/coordinator/src/main/java/burlford/daemon/Lane.java
@@ -3,10 +3,10 @@
 import burlford.clients.Connections;
 import burlford.clients.HttpConnection;
 import burlford.clients.PlatformFront;
-import burlford.core.Census;
-import burlford.core.Commons;
+import burlford.core.ClientLimits;
 import burlford.core.Coordinator;
-import burlford.core.Crowd;
+import burlford.core.ReaderConnectionLimits;
+import burlford.core.SharedState;
 import burlford.lanes.LaneSettings;
 import burlford.policy.Dispatcher;
 import burlford.search.SearchFront;
@@ -29,12 +29,12 @@
     private static final long SEED_STEP = 0x9E3779B97F4A7C15L;
 
     final int number;
-    final Turns turns;
+    final EventLoopDriver loopDriver;
     final Coordinator coordinator;
     final Connections connections;
     /** For connections to others, on this loop. */
-    final Bootstrap out;
-    private final Shared shared;
+    final Bootstrap outboundBootstrap;
+    private final DaemonContext shared;
     private final ReaderPool readers;
     private final HttpConnection.Front platform;
     /** null: there is no search front. */
@@ -43,86 +43,86 @@
     private long writtenBy;
 
     /** counters: those of the process, a line each. */
-    Lane(int number, Turns turns, Shared shared, Dispatcher dispatcher, Commons commons, Census census, Crowd crowd,
-            Supplier<String> counters) {
+    Lane(int number, EventLoopDriver turns, DaemonContext shared, Dispatcher dispatcher, SharedState commons,
+            ReaderConnectionLimits census, ClientLimits crowd, Supplier<String> counters) {
         this.number = number;
-        this.turns = turns;
+        this.loopDriver = turns;
         this.shared = shared;
-        Shared.Setup setup = shared.setup();
-        connections = new Connections(setup.configuration().sockets(), crowd, turns.counters, turns.deadlines,
+        DaemonContext.ParsedConfiguration setup = shared.parsedConfiguration();
+        connections = new Connections(setup.configuration().maxSockets(), crowd, turns.counters, turns.timers,
                 turns.clock);
-        coordinator = new Coordinator(setup.site(), dispatcher, commons, turns.deadlines, turns.counters, turns.clock);
-        out = new Bootstrap().group(turns.loop).channel(NioSocketChannel.class)
+        coordinator = new Coordinator(setup.site(), dispatcher, commons, turns.timers, turns.counters, turns.clock);
+        outboundBootstrap = new Bootstrap().group(turns.loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
-        readers = new ReaderPool(out, coordinator, turns.deadlines, census,
-                () -> shared.configuration().sockets() / READERS_SHARE);
-        coordinator.connect(readers);
-        platform = new PlatformFront(coordinator, shared::draining, counters);
-        OperatorFile.Search s = setup.operator().search();
+        readers = new ReaderPool(outboundBootstrap, coordinator, turns.timers, census,
+                () -> shared.configuration().maxSockets() / READERS_SHARE);
+        coordinator.setReaderTransport(readers);
+        platform = new PlatformFront(coordinator, shared::isDraining, counters);
+        OperatorFile.SearchFrontSettings s = setup.operatorFile().search();
         search = s == null ? null : new SearchFront(coordinator, s.cluster(), setup.configuration().name(), s.indices(),
-                setup.configuration().seed() ^ turns.now() ^ Long.rotateRight(number, 8), shared::draining);
+                setup.configuration().seed() ^ turns.now() ^ Long.rotateRight(number, 8), shared::isDraining);
     }
 
     /** The decision module of one of so many lanes. */
-    static Dispatcher dispatcher(Shared.Setup setup, int lane, int lanes) {
+    static Dispatcher createDispatcher(DaemonContext.ParsedConfiguration setup, int lane, int lanes) {
         long seed = setup.configuration().seed();
-        return lanes == 1 ? new Dispatcher(setup.module(), seed)
-                : new Dispatcher(LaneSettings.of(setup.module(), lane, lanes), seed + lane * SEED_STEP);
+        return lanes == 1 ? new Dispatcher(setup.moduleSettings(), seed)
+                : new Dispatcher(LaneSettings.of(setup.moduleSettings(), lane, lanes), seed + lane * SEED_STEP);
     }
 
     /** Bytes of requests that the process may hold. */
-    static long mostHeld() {
+    static long maxRequestBytes() {
         return Runtime.getRuntime().maxMemory() / HELD_SHARE;
     }
 
     /** New settings: for queries to come; those open end under the ones they began with. */
-    void reconfigure(Shared.Setup setup, Dispatcher dispatcher) {
+    void reconfigure(DaemonContext.ParsedConfiguration setup, Dispatcher dispatcher) {
         coordinator.reconfigure(setup.site(), dispatcher);
         if (search != null) {
-            search.reconfigure(setup.operator().search().indices());
+            search.reconfigure(setup.operatorFile().search().indices());
         }
     }
 
     void drain() {
-        coordinator.endBy(shared.endBy());
-        turns.deadlines.at(shared.stopAt(), () -> { });
-        turns.deadlines.at(shared.leaveAt(), () -> { }); // ends the turn that waits for the network then
+        coordinator.answerAllBy(shared.answerAllBy());
+        loopDriver.timers.schedule(shared.exitDespiteClientsAt(), () -> { });
+        loopDriver.timers.schedule(shared.earliestExitAt(), () -> { }); // ends the turn that waits for the network then
     }
 
     /** Told to stop, all answered, and the answers written; a client that does not read its own is not waited for. */
-    boolean over() {
-        long now = turns.now();
-        boolean nobody = now >= shared.leaveAt() && !connections.anyOpen();
-        if (!coordinator.idle() || now < shared.stopAt() && !nobody) {
+    boolean isDrained() {
+        long now = loopDriver.now();
+        boolean nobody = now >= shared.earliestExitAt() && !connections.hasOpenConnections();
+        if (!coordinator.isIdle() || now < shared.exitDespiteClientsAt() && !nobody) {
             writtenBy = now + LONGEST_WRITE;
             return false;
         }
-        return connections.allWritten() || now >= writtenBy;
+        return connections.allRepliesWritten() || now >= writtenBy;
     }
 
     /** From now on connections end behind their answers. */
-    void leave() {
+    void closeAfterReply() {
         leaving = true;
     }
 
-    void closeReaders() {
+    void closeReaderConnections() {
         readers.close();
     }
 
     /** Takes a client's connection; on this lane's loop. */
-    void take(Channel client, Door door) {
-        turns.counters.add("clients.connections");
-        serve(client, door == Door.SEARCH ? search : platform);
+    void serveAccepted(Channel client, FrontType door) {
+        loopDriver.counters.add("clients.connections");
+        serve(client, door == FrontType.SEARCH ? search : platform);
     }
 
     /** Takes one that another lane has served so far. */
-    void takeOver(Channel client, Door door) {
-        turns.counters.add("clients.connections.moved");
-        serve(client, door == Door.SEARCH ? search : platform);
+    void serveMoved(Channel client, FrontType door) {
+        loopDriver.counters.add("clients.connections.moved");
+        serve(client, door == FrontType.SEARCH ? search : platform);
     }
 
     void serve(Channel client, HttpConnection.Front front) {
-        client.pipeline().addLast(HttpConnection.handlers(front, turns::unreadSince,
-                () -> leaving || shared.handingOver(), connections));
+        client.pipeline().addLast(HttpConnection.createHandlers(front, loopDriver::earliestArrivalAt,
+                () -> leaving || shared.isClosingAfterReply(), connections));
     }
 }
--- a/coordinator/src/main/java/burlford/daemon/LaneThread.java
+++ b/coordinator/src/main/java/burlford/daemon/LaneThread.java
@@ -1,8 +1,8 @@
 package burlford.daemon;
 
 import burlford.clients.HttpConnection;
-import burlford.lanes.Ground;
 import burlford.lanes.LaneShare;
+import burlford.lanes.ProcessResources;
 import burlford.policy.Dispatcher;
 import io.netty.channel.Channel;
 import java.util.concurrent.TimeUnit;
@@ -27,42 +27,44 @@
     interface Owner {
 
         /** The lane takes nothing more, by that error or, where it is null, because it was given up. */
-        void failed(LaneThread lane, Throwable why);
+        void onFailed(LaneThread lane, Throwable why);
 
         /** A client's connection leaves the lane for the lane of that number, or any other. */
-        void moved(Channel client, int to);
+        void onConnectionReleased(Channel client, int to);
 
         /** It has ended: nothing of it runs any more. */
-        void ended(LaneThread lane);
+        void onEnded(LaneThread lane);
     }
 
     /** Connections that are to go to another lane. */
-    private record Leaving(int to, int connections) { }
+    private record MoveRequest(int to, int connections) { }
 
     final int number;
     final LaneShare share;
     final Lane lane;
-    final Turns turns;
+    final EventLoopDriver loopDriver;
     private final Thread thread;
     private final Owner owner;
     private volatile boolean mayEnd;
     private volatile boolean settled;
-    private volatile Leaving toMove;
+    private volatile MoveRequest toMove;
 
-    LaneThread(int number, int lanes, Shared shared, Ground ground, Supplier<String> counters, Owner owner) {
+    LaneThread(int number, int lanes, DaemonContext shared, ProcessResources ground, Supplier<String> counters,
+            Owner owner) {
         this.number = number;
         this.owner = owner;
         thread = new Thread(this::run, "lane-" + number);
         thread.setDaemon(true); // one that hangs must not keep the process
-        turns = new Turns(thread, shared.clock);
-        share = new LaneShare(ground, number, turns.loop, shared.clock);
-        Dispatcher dispatcher = Lane.dispatcher(shared.setup(), number, lanes);
-        lane = new Lane(number, turns, shared, dispatcher, share, share.census(), share.crowd(), counters);
+        loopDriver = new EventLoopDriver(thread, shared.clock);
+        share = new LaneShare(ground, number, loopDriver.loop, shared.clock);
+        Dispatcher dispatcher = Lane.createDispatcher(shared.parsedConfiguration(), number, lanes);
+        lane = new Lane(number, loopDriver, shared, dispatcher, share, share.readerConnectionLimits(),
+                share.clientLimits(), counters);
     }
 
     void start() {
-        share.join(() -> lane.coordinator.abandon("the lane stood still for too long"), lane.connections::makeRoom,
-                lane.coordinator::refresh);
+        share.join(() -> lane.coordinator.failAll("the lane stood still for too long"),
+                lane.connections::evictIdleConnection, lane.coordinator::refresh);
         thread.start();
     }
 
@@ -72,9 +74,9 @@
     }
 
     /** Any thread: it ends once all is answered. */
-    void mayEnd() {
+    void stopWhenIdle() {
         mayEnd = true;
-        turns.loop.execute(() -> { });
+        loopDriver.loop.execute(() -> { });
     }
 
     /** Any thread: as of its last turn, all is answered and written. */
@@ -83,76 +85,77 @@
     }
 
     /** Any thread: so many connections are to go to another lane as soon as they are between requests. */
-    void move(int to, int connections) {
-        toMove = new Leaving(to, connections);
-        turns.loop.execute(() -> { });
+    void requestMove(int to, int connections) {
+        toMove = new MoveRequest(to, connections);
+        loopDriver.loop.execute(() -> { });
     }
 
     private void run() {
         Throwable why = null;
         try {
-            while (!(mayEnd && settled) && !share.isGivenUp()) {
-                turns.turn();
-                share.flush();
-                share.longestWaiting(lane.connections.longestWaiting());
-                settled = lane.coordinator.idle() && lane.connections.allWritten();
+            while (!(mayEnd && settled) && !share.isFenced()) {
+                loopDriver.runIteration();
+                share.flushPeerUpdates();
+                share.longestIdleSince(lane.connections.longestIdleSince());
+                settled = lane.coordinator.isIdle() && lane.connections.allRepliesWritten();
                 moveSome();
             }
         } catch (Throwable t) { // whatever it is, its clients are to hear of their queries' end
             why = t;
         }
         try {
-            if (why != null || share.isGivenUp()) {
+            if (why != null || share.isFenced()) {
                 fail(why);
             }
         } finally {
             close();
-            owner.ended(this);
+            owner.onEnded(this);
         }
     }
 
     private void moveSome() {
-        Leaving l = toMove;
+        MoveRequest l = toMove;
         if (l == null) {
             return;
         }
         int moved = 0;
-        for (HttpConnection c : lane.connections.movable(l.connections())) {
-            moved += c.move(channel -> owner.moved(channel, l.to())) ? 1 : 0;
+        for (HttpConnection c : lane.connections.movableConnections(l.connections())) {
+            moved += c.detach(channel -> owner.onConnectionReleased(channel, l.to())) ? 1 : 0;
         }
-        toMove = moved >= l.connections() ? null : new Leaving(l.to(), l.connections() - moved);
+        toMove = moved >= l.connections() ? null : new MoveRequest(l.to(), l.connections() - moved);
     }
 
     /** Each open query ends as failed; connections between requests go elsewhere, others end behind their replies. */
     private void fail(Throwable why) {
         Thread.interrupted(); // set, it would close whatever is read or written
         LOG.log(Level.SEVERE, "lane " + number + " ends", why);
-        owner.failed(this, why);
-        lane.coordinator.abandon("the lane that had the query has failed");
-        share.flush();
-        long until = turns.now() + LAST_WORDS;
-        Consumer<Channel> elsewhere = channel -> owner.moved(channel, -1);
-        lane.leave();
+        owner.onFailed(this, why);
+        lane.coordinator.failAll("the lane that had the query has failed");
+        share.flushPeerUpdates();
+        long until = loopDriver.now() + LAST_WORDS;
+        Consumer<Channel> elsewhere = channel -> owner.onConnectionReleased(channel, -1);
+        lane.closeAfterReply();
         int errors = 0;
-        while (turns.now() < until && errors < MOST_ERRORS && (lane.connections.open() > 0 || !lane.connections.allWritten())) {
+        while (loopDriver.now() < until && errors < MOST_ERRORS && (lane.connections.openCount() > 0
+                || !lane.connections.allRepliesWritten())) {
             try {
-                turns.deadlines.at(turns.now() + LAST_TURN, () -> { });
-                turns.turn();
-                lane.connections.movable(Integer.MAX_VALUE).forEach(c -> c.move(elsewhere));
+                loopDriver.timers.schedule(loopDriver.now() + LAST_TURN, () -> { });
+                loopDriver.runIteration();
+                lane.connections.movableConnections(Integer.MAX_VALUE).forEach(c -> c.detach(elsewhere));
             } catch (RuntimeException | Error e) {
                 errors++;
                 LOG.log(Level.SEVERE, "lane " + number + " in ending", e);
             }
         }
-        lane.closeReaders();
+        lane.closeReaderConnections();
     }
 
     /** Closes what is open on the loop; what is handed to it from now on is rejected. */
     private void close() {
         share.close();
-        turns.loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        while (!turns.loop.isTerminated()) {
-            turns.loop.run(TimeUnit.MILLISECONDS.toNanos(1));
+        loopDriver.loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        while (!loopDriver.loop.isTerminated()) {
+            loopDriver.loop.run(TimeUnit.MILLISECONDS.toNanos(1));
         }
     }
 }
--- a/coordinator/src/main/java/burlford/daemon/Lanes.java
+++ b/coordinator/src/main/java/burlford/daemon/MultiLaneGroup.java
@@ -4,11 +4,11 @@
 import burlford.clients.HttpConnection;
 import burlford.core.Counters;
 import burlford.core.ReaderEntry;
-import burlford.core.Roster;
+import burlford.core.ReaderRegistry;
 import burlford.core.Site;
-import burlford.lanes.Ground;
 import burlford.lanes.LaneShare;
 import burlford.lanes.Placement;
+import burlford.lanes.ProcessResources;
 import burlford.lanes.Supervision;
 import burlford.policy.Aggregator.ListKind;
 import burlford.policy.Aggregator.Status;
@@ -37,17 +37,18 @@
  * Several lanes, seen from the process's first loop: it accepts connections and deals them out, follows the list of
  * readers and the settings and tells all lanes, and starts a lane anew that has failed. It serves no query.
  */
-final class Lanes implements Serving, Roster {
+final class MultiLaneGroup implements LaneGroup, ReaderRegistry {
 
-    private static final Logger LOG = Logger.getLogger(Lanes.class.getName());
+    // Name kept for existing logging configurations.
+    private static final Logger LOG = Logger.getLogger("burlford.daemon.Lanes");
     /** How often lanes are asked whether they turn, and looked at for what is to move. */
     private static final long ASK = 50_000;
     private static final long LOOK = 250_000;
     private static final long LONGEST_WRITE = 2_000_000;
 
-    private final Turns turns;
-    private final Shared shared;
-    private final Ground ground;
+    private final EventLoopDriver turns;
+    private final DaemonContext shared;
+    private final ProcessResources ground;
     private final Placement placement;
     private final Supervision supervision;
     /** Those that serve or did last, by number; the first loop sets them. */
@@ -66,18 +67,18 @@
     private long nextLook;
     private long writtenBy;
 
-    Lanes(Turns turns, Shared shared, int count) {
+    MultiLaneGroup(EventLoopDriver turns, DaemonContext shared, int count) {
         this.turns = turns;
         this.shared = shared;
-        Shared.Setup setup = shared.setup();
-        int sockets = setup.configuration().sockets();
-        ground = new Ground(count, setup.site().maxOpen(), Lane.mostHeld(), sockets);
+        DaemonContext.ParsedConfiguration setup = shared.parsedConfiguration();
+        int sockets = setup.configuration().maxSockets();
+        ground = new ProcessResources(count, setup.site().maxOpen(), Lane.maxRequestBytes(), sockets);
         placement = new Placement(count, setup.configuration().seed());
         supervision = new Supervision(count);
         out = new Bootstrap().group(turns.loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
         ownShare = new LaneShare(ground, count, turns.loop, shared.clock);
-        ownConnections = new Connections(sockets, ownShare.crowd(), turns.counters, turns.deadlines, turns.clock);
+        ownConnections = new Connections(sockets, ownShare.clientLimits(), turns.counters, turns.timers, turns.clock);
         lanes = new AtomicReferenceArray<>(count);
         for (int lane = 0; lane < count; lane++) {
             start(lane);
@@ -101,7 +102,7 @@
     }
 
     /** Lanes that get new connections. */
-    long serving() {
+    long servingLaneCount() {
         return all().stream().filter(l -> supervision.state(l.number) == Supervision.State.SERVING).count();
     }
 
@@ -110,7 +111,7 @@
         return generation;
     }
 
-    Ground ground() {
+    ProcessResources resources() {
         return ground;
     }
 
@@ -125,18 +126,18 @@
         counted.add(lane);
         List<ReaderEntry> known = readers();
         if (!known.isEmpty()) {
-            lane.share.order(() -> lane.lane.coordinator.listed(ListKind.WHOLE, known));
+            lane.share.stageBroadcast(() -> lane.lane.coordinator.updateReaders(ListKind.WHOLE, known));
         }
-        if (shared.draining()) {
-            lane.share.order(lane.lane::drain);
+        if (shared.isDraining()) {
+            lane.share.stageBroadcast(lane.lane::drain);
         }
         lane.start();
-        lane.share.tell(++generation);
+        lane.share.publishBroadcasts(++generation);
         placement.reset(number);
         supervision.started(number, now());
         ask(lane);
         if (writtenBy != 0) {
-            lane.mayEnd(); // the others were told before it was there
+            lane.stopWhenIdle(); // the others were told before it was there
         }
     }
 
@@ -144,47 +145,47 @@
     @Override
     public String countersText() {
         Map<String, Long> sums = new TreeMap<>();
-        turns.counters.each((name, count) -> sums.merge(name, count, Long::sum));
-        ended.each((name, count) -> sums.merge(name, count, Long::sum));
+        turns.counters.forEach((name, count) -> sums.merge(name, count, Long::sum));
+        ended.forEach((name, count) -> sums.merge(name, count, Long::sum));
         Map<String, Long> own = new TreeMap<>();
         for (LaneThread lane : counted) {
-            lane.turns.counters.each((name, count) -> {
+            lane.loopDriver.counters.forEach((name, count) -> {
                 sums.merge(name, count, Long::sum);
                 own.merge("lane." + lane.number + "." + name, count, Long::sum);
             });
-            sums.merge("lanes.words.dropped", lane.share.dropped(), Long::sum);
+            sums.merge("lanes.words.dropped", lane.share.droppedBatches(), Long::sum);
         }
         return Counters.text(sums) + Counters.text(own);
     }
 
     private void ask(LaneThread lane) {
-        lane.share.ask(now(), lane.lane.coordinator::refresh);
+        lane.share.sendHeartbeat(now(), lane.lane.coordinator::refresh);
     }
 
     /** What lanes call, on their own threads. */
     private final class Owner implements LaneThread.Owner {
         @Override
-        public void failed(LaneThread lane, Throwable why) {
+        public void onFailed(LaneThread lane, Throwable why) {
             turns.loop.execute(() -> replace(lane));
         }
 
         @Override
-        public void moved(Channel client, int to) {
+        public void onConnectionReleased(Channel client, int to) {
             turns.loop.execute(() -> place(client, to));
         }
 
         @Override
-        public void ended(LaneThread lane) {
+        public void onEnded(LaneThread lane) {
             turns.loop.execute(() -> {
                 ending.remove(lane);
                 counted.remove(lane);
-                lane.turns.counters.each(ended::add);
+                lane.loopDriver.counters.forEach(ended::add);
             });
         }
     }
 
     /** It may decide and send nothing more, should it wake; another takes its place. */
-    void giveUp(LaneThread lane) {
+    void fence(LaneThread lane) {
         LOG.log(Level.SEVERE, "lane {0} is given up: it has stood still for too long", lane.number);
         replace(lane);
         lane.interrupt();
@@ -196,51 +197,51 @@
         }
         turns.counters.add("lanes.failed");
         ending.add(lane);
-        lane.share.giveUp();
+        lane.share.fence();
         supervision.died(lane.number, now());
-        turns.deadlines.at(supervision.startAgainAt(lane.number), () -> start(lane.number));
+        turns.timers.schedule(supervision.restartAt(lane.number), () -> start(lane.number));
     }
 
     /** Asks the lanes whether they turn, and does what follows from what is seen of them. */
     private void tick() {
         long now = now();
         for (LaneThread lane : all()) {
-            if (lane.share.answeredAt() != 0) {
-                supervision.answered(lane.number, lane.share.answeredAt());
+            if (lane.share.heartbeatAnsweredAt() != 0) {
+                supervision.heartbeatAnswered(lane.number, lane.share.heartbeatAnsweredAt());
             }
             Supervision.State was = supervision.state(lane.number);
-            Supervision.State is = supervision.look(lane.number, now);
-            if (is != was && is == Supervision.State.STANDING) {
+            Supervision.State is = supervision.check(lane.number, now);
+            if (is != was && is == Supervision.State.STALLED) {
                 turns.counters.add("lanes.stood_still");
                 LOG.log(Level.WARNING, "lane {0} stands still", lane.number);
             } else if (was == Supervision.State.DEAD) {
                 continue;
             } else if (is == Supervision.State.DEAD) {
-                giveUp(lane);
+                fence(lane);
                 continue;
             }
-            if (supervision.ask(lane.number, now)) {
+            if (supervision.startHeartbeat(lane.number, now)) {
                 ask(lane);
             }
         }
         if (now >= nextLook) {
             nextLook = now + LOOK;
-            for (Placement.Move m : placement.look(now, views(false))) {
+            for (Placement.Move m : placement.rebalance(now, views(false))) {
                 turns.counters.add("lanes.moves");
-                lane(m.from()).move(m.to(), m.connections());
+                lane(m.from()).requestMove(m.to(), m.connections());
             }
         }
-        turns.deadlines.at(now + ASK, this::tick);
+        turns.timers.schedule(now + ASK, this::tick);
     }
 
     /** anyAlive: also those that stand still or have not turned yet. */
-    private List<Placement.View> views(boolean anyAlive) {
+    private List<Placement.LaneLoad> views(boolean anyAlive) {
         long now = now();
-        List<Placement.View> views = new ArrayList<>();
+        List<Placement.LaneLoad> views = new ArrayList<>();
         for (LaneThread lane : all()) {
             Supervision.State state = supervision.state(lane.number);
             boolean serves = anyAlive ? state != Supervision.State.DEAD : state == Supervision.State.SERVING;
-            views.add(new Placement.View(lane.number, serves, lane.share.open(), lane.share.connections(),
+            views.add(new Placement.LaneLoad(lane.number, serves, lane.share.openUnits(), lane.share.connections(),
                     supervision.lag(lane.number, now)));
         }
         return views;
@@ -249,7 +250,7 @@
     // ---- connections
 
     @Override
-    public void accept(ServerBootstrap listener, Door door) {
+    public void configureListener(ServerBootstrap listener, FrontType door) {
         listener.handler(new Acceptor(door)).childHandler(new ChannelInboundHandlerAdapter() {
             @Override
             public boolean isSharable() {
@@ -260,9 +261,9 @@
 
     /** Takes each connection before the listener would register it with the first loop. */
     private final class Acceptor extends ChannelInboundHandlerAdapter {
-        private final Door door;
+        private final FrontType door;
 
-        Acceptor(Door door) {
+        Acceptor(FrontType door) {
             this.door = door;
         }
 
@@ -270,7 +271,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object accepted) {
             Channel client = (Channel) accepted;
             ((SocketChannelConfig) client.config()).setTcpNoDelay(true);
-            client.attr(Door.KEY).set(door);
+            client.attr(FrontType.ATTRIBUTE_KEY).set(door);
             place(client, -1);
         }
     }
@@ -288,24 +289,24 @@
             return;
         }
         LaneThread lane = lane(number);
-        Door door = client.attr(Door.KEY).get();
+        FrontType door = client.attr(FrontType.ATTRIBUTE_KEY).get();
         boolean moved = !client.config().isAutoRead();
-        lane.share.placed();
+        lane.share.connectionPlaced();
         if (!moved) {
             client.pipeline().addLast(new ChannelInitializer<>() {
                 @Override
                 protected void initChannel(Channel c) {
-                    lane.lane.take(c, door);
+                    lane.lane.serveAccepted(c, door);
                 }
             });
         }
-        lane.turns.loop.register(client).addListener(f -> {
+        lane.loopDriver.loop.register(client).addListener(f -> {
             if (!f.isSuccess()) {
-                lane.share.gone();
+                lane.share.connectionClosed();
                 client.unsafe().closeForcibly();
             } else if (moved) {
                 // Not before: handlers added earlier would still be the old loop's.
-                lane.lane.takeOver(client, door);
+                lane.lane.serveMoved(client, door);
                 client.config().setAutoRead(true);
             }
         });
@@ -313,16 +314,17 @@
 
     @Override
     public void serve(Channel client, HttpConnection.Front front) {
-        ownShare.placed();
-        client.pipeline().addLast(HttpConnection.handlers(front, turns.clock, shared::handingOver, ownConnections));
+        ownShare.connectionPlaced();
+        client.pipeline().addLast(HttpConnection.createHandlers(front, turns.clock, shared::isClosingAfterReply,
+                ownConnections));
     }
 
     /** The first loop serves no query, and reads the list while a lane's turn takes long. */
     @Override
-    public void onSending(Runnable action) { }
+    public void onBeforeSend(Runnable action) { }
 
     @Override
-    public Bootstrap out() {
+    public Bootstrap outboundBootstrap() {
         return out;
     }
 
@@ -331,37 +333,37 @@
     /** Each lane takes it before its next decision; none decides otherwise once another has taken it. */
     private void tell(Consumer<LaneThread> order) {
         for (LaneThread lane : all()) {
-            lane.share.order(() -> order.accept(lane));
+            lane.share.stageBroadcast(() -> order.accept(lane));
         }
         generation++;
         for (LaneThread lane : all()) {
-            lane.share.tell(generation);
+            lane.share.publishBroadcasts(generation);
         }
     }
 
     @Override
-    public void reconfigure(Shared.Setup setup) {
-        ground.resize(setup.site().maxOpen(), setup.configuration().sockets());
+    public void reconfigure(DaemonContext.ParsedConfiguration setup) {
+        ground.resize(setup.site().maxOpen(), setup.configuration().maxSockets());
         tell(lane -> {
-            Dispatcher dispatcher = Lane.dispatcher(setup, lane.number, lanes.length());
+            Dispatcher dispatcher = Lane.createDispatcher(setup, lane.number, lanes.length());
             lane.lane.reconfigure(setup, dispatcher);
         });
     }
 
     @Override
-    public void limit(Configuration configuration) {
-        ground.resize(site().maxOpen(), configuration.sockets());
-        ownConnections.limit(configuration.sockets());
-        tell(lane -> lane.lane.connections.limit(configuration.sockets()));
+    public void updateLimits(Configuration configuration) {
+        ground.resize(site().maxOpen(), configuration.maxSockets());
+        ownConnections.setDescriptorLimit(configuration.maxSockets());
+        tell(lane -> lane.lane.connections.setDescriptorLimit(configuration.maxSockets()));
     }
 
     @Override
-    public Roster roster() {
+    public ReaderRegistry readerRegistry() {
         return this;
     }
 
     @Override
-    public void listed(ListKind kind, List<ReaderEntry> entries) {
+    public void updateReaders(ListKind kind, List<ReaderEntry> entries) {
         turns.counters.add("lists.told");
         if (kind != ListKind.CHANGES) {
             list.clear();
@@ -373,8 +375,8 @@
                 list.put(e.id(), e);
             }
         }
-        ground.readers(list.size());
-        tell(lane -> lane.lane.coordinator.listed(kind, entries));
+        ground.setReaderCount(list.size());
+        tell(lane -> lane.lane.coordinator.updateReaders(kind, entries));
         onListed.run();
     }
 
@@ -384,13 +386,13 @@
     }
 
     @Override
-    public void onListed(Runnable action) {
+    public void onReadersUpdated(Runnable action) {
         onListed = action;
     }
 
     @Override
     public Site site() {
-        return shared.setup().site();
+        return shared.parsedConfiguration().site();
     }
 
     @Override
@@ -404,8 +406,8 @@
     }
 
     @Override
-    public void makeRoom() {
-        tell(lane -> lane.lane.connections.makeRoom());
+    public void evictIdleConnection() {
+        tell(lane -> lane.lane.connections.evictIdleConnection());
     }
 
     // ---- the end
@@ -413,24 +415,24 @@
     @Override
     public void drain() {
         tell(lane -> lane.lane.drain());
-        turns.deadlines.at(shared.stopAt(), () -> { });
-        turns.deadlines.at(shared.leaveAt(), () -> { });
+        turns.timers.schedule(shared.exitDespiteClientsAt(), () -> { });
+        turns.timers.schedule(shared.earliestExitAt(), () -> { });
     }
 
     /** The lanes end once each has settled; one that stands still is not waited for past the time to answer by. */
     @Override
-    public boolean over() {
+    public boolean isDrained() {
         long now = now();
-        if (now < shared.leaveAt() || now < shared.stopAt() && ground.clients() > 0) {
+        if (now < shared.earliestExitAt() || now < shared.exitDespiteClientsAt() && ground.clientConnections() > 0) {
             return false;
         }
         boolean allEnded = ending.isEmpty() && counted.isEmpty();
         if (writtenBy == 0) {
             writtenBy = now + LONGEST_WRITE;
             for (LaneThread lane : all()) {
-                lane.mayEnd();
+                lane.stopWhenIdle();
             }
         }
-        return allEnded || now >= Math.max(writtenBy, shared.endBy() + LONGEST_WRITE);
+        return allEnded || now >= Math.max(writtenBy, shared.answerAllBy() + LONGEST_WRITE);
     }
 }
--- a/coordinator/src/main/java/burlford/daemon/OperatorFile.java
+++ b/coordinator/src/main/java/burlford/daemon/OperatorFile.java
@@ -17,34 +17,36 @@
 
 /**
  * What an operator sets up off the platform, in YAML: the search front, an inventory in place of
- * discovery, the number of cores to serve on, and the members of the store: one file may serve all members, each finds itself there by its
- * name. Each fault names the file and the line or key. Parts left out are off; null stands for them.
+ * discovery, the number of cores to serve on, and the members of the store: one file may serve all members, each finds
+ * itself there by its name. Each fault names the file and the line or key. Parts left out are off; null stands for
+ * them.
  */
-public record OperatorFile(Search search, Path inventory, Replicated store, int cores) {
+public record OperatorFile(SearchFrontSettings search, Path inventory, StoreSettings store, int cores) {
 
     private static final int MOST_CORES = 64;
 
-    public record Search(InetSocketAddress listen, String cluster, Map<String, Index> indices) { }
+    public record SearchFrontSettings(InetSocketAddress listen, String cluster, Map<String, Index> indices) { }
 
     /** member: this one; peers, admins: where each member listens to the others, and where to operators. */
-    public record Replicated(String member, Path directory, Map<String, InetSocketAddress> admins,
-            Map<String, InetSocketAddress> peers) { }
+    public record StoreSettings(String member, Path directory, Map<String, InetSocketAddress> adminAddresses,
+            Map<String, InetSocketAddress> peerAddresses) { }
 
     public static final OperatorFile NONE = new OperatorFile(null, null, null, 1);
 
     /** name: the coordinator's, which says which member of the store it is. */
-    public static OperatorFile read(Path file, byte[] text, String name, Site site) throws Configuration.Bad {
+    public static OperatorFile read(Path file, byte[] text, String name, Site site)
+            throws Configuration.InvalidConfigurationException {
         JsonNode root;
         try {
             root = new YAMLMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new Configuration.Bad(file + " line " + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
-                    + ": " + e.getOriginalMessage());
+            throw new Configuration.InvalidConfigurationException(file + " line " + (e.getLocation() == null ? 1
+                    : e.getLocation().getLineNr()) + ": " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new Configuration.Bad(file + " cannot be read: " + e);
+            throw new Configuration.InvalidConfigurationException(file + " cannot be read: " + e);
         }
         if (root == null || !root.isObject()) {
-            throw new Configuration.Bad(file + " line 1: not a mapping");
+            throw new Configuration.InvalidConfigurationException(file + " line 1: not a mapping");
         }
         Section top = new Section(file.toString(), "", root);
         top.only(Set.of("search", "inventory", "store", "cores"));
@@ -54,7 +56,7 @@
                 root.has("store") ? store(top.section("store"), file, name) : null, cores(top));
     }
 
-    private static int cores(Section top) throws Configuration.Bad {
+    private static int cores(Section top) throws Configuration.InvalidConfigurationException {
         JsonNode cores = top.node.path("cores");
         if (!cores.isMissingNode() && !(cores.isInt() && cores.intValue() >= 1 && cores.intValue() <= MOST_CORES)) {
             throw top.bad("cores", "not a whole number from 1 to " + MOST_CORES + ": " + cores);
@@ -62,7 +64,8 @@
         return cores.asInt(1);
     }
 
-    private static Replicated store(Section store, Path file, String name) throws Configuration.Bad {
+    private static StoreSettings store(Section store, Path file, String name)
+            throws Configuration.InvalidConfigurationException {
         store.only(Set.of("directory", "members"));
         Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
         Map<String, InetSocketAddress> admins = new LinkedHashMap<>();
@@ -80,20 +83,22 @@
         if (directory == null) {
             throw store.bad("directory", "missing");
         }
-        return new Replicated(name, file.resolveSibling(directory), admins, peers);
+        return new StoreSettings(name, file.resolveSibling(directory), admins, peers);
     }
 
-    private static Search search(Section search, Site site) throws Configuration.Bad {
+    private static SearchFrontSettings search(Section search, Site site)
+            throws Configuration.InvalidConfigurationException {
         search.only(Set.of("listen", "cluster", "indices"));
         Map<String, Index> indices = new LinkedHashMap<>();
         Section all = search.section("indices");
         for (Map.Entry<String, JsonNode> e : all.node.properties()) {
             indices.put(e.getKey(), index(e.getKey(), all.section(e.getKey()), site));
         }
-        return new Search(search.address("listen"), search.text("cluster", "burlford"), indices);
+        return new SearchFrontSettings(search.address("listen"), search.text("cluster", "burlford"), indices);
     }
 
-    private static Index index(String name, Section index, Site site) throws Configuration.Bad {
+    private static Index index(String name, Section index, Site site)
+            throws Configuration.InvalidConfigurationException {
         index.only(Set.of("class", "tenant", "tenant_header", "key", "shards", "deadline_ms", "deadline_header"));
         String kind = index.text("class", "");
         int queryClass = site.classes().indexOf(kind);
@@ -132,11 +137,11 @@
     /** A mapping of the file, which knows its own key for the faults found in it. */
     private record Section(String file, String path, JsonNode node) {
 
-        Configuration.Bad bad(String key, String fault) {
-            return new Configuration.Bad(file + " " + path + key + ": " + fault);
+        Configuration.InvalidConfigurationException bad(String key, String fault) {
+            return new Configuration.InvalidConfigurationException(file + " " + path + key + ": " + fault);
         }
 
-        void only(Set<String> known) throws Configuration.Bad {
+        void only(Set<String> known) throws Configuration.InvalidConfigurationException {
             for (Map.Entry<String, JsonNode> e : node.properties()) {
                 if (!known.contains(e.getKey())) {
                     throw bad(e.getKey(), "unknown key");
@@ -144,7 +149,7 @@
             }
         }
 
-        Section section(String key) throws Configuration.Bad {
+        Section section(String key) throws Configuration.InvalidConfigurationException {
             JsonNode inner = node.get(key);
             if (inner == null || !inner.isObject()) {
                 throw bad(key, "not a mapping");
@@ -152,11 +157,11 @@
             return new Section(file, path + key + ".", inner);
         }
 
-        InetSocketAddress address(String key) throws Configuration.Bad {
-            return Configuration.address(file, path + key, text(key, ""));
+        InetSocketAddress address(String key) throws Configuration.InvalidConfigurationException {
+            return Configuration.parseAddress(file, path + key, text(key, ""));
         }
 
-        String text(String key, String absent) throws Configuration.Bad {
+        String text(String key, String absent) throws Configuration.InvalidConfigurationException {
             JsonNode value = node.get(key);
             if (value == null || value.isNull()) {
                 return absent;
--- a/coordinator/src/main/java/burlford/daemon/ShutdownSchedule.java
+++ b/coordinator/src/main/java/burlford/daemon/ShutdownSchedule.java
@@ -3,16 +3,16 @@
 /**
  * When a process that was told to stop does what, on the process's clock. Times are microseconds.
  *
- * @param leaveAt when it may leave, once no client is connected
- * @param handOverAt from when on connections end behind their answers
- * @param stopAt when it leaves though clients are connected, once all is answered
- * @param endBy when all is to be answered, whatever clients would wait
+ * @param earliestExitAt when it may leave, once no client is connected
+ * @param closeAfterReplyAt from when on connections end behind their answers
+ * @param exitDespiteClientsAt when it leaves though clients are connected, once all is answered
+ * @param answerAllBy when all is to be answered, whatever clients would wait
  */
-record ShutdownSchedule(long leaveAt, long handOverAt, long stopAt, long endBy) {
+record ShutdownSchedule(long earliestExitAt, long closeAfterReplyAt, long exitDespiteClientsAt, long answerAllBy) {
 
     /** The kill comes no sooner than the longest deadline, counted as this at most, and KILL_BEHIND_DEADLINE later. */
-    static final long LONGEST_DEADLINE_COUNTED = 3_000_000;
-    static final long KILL_BEHIND_DEADLINE = 700_000;
+    static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
+    static final long KILL_GRACE_US = 700_000;
     /** Between the last answer and the kill: the process may be held up, and answers take their time to write. */
     private static final long BEFORE_KILL = 250_000;
     /** New connections keep coming for up to 0.4 s. */
@@ -23,8 +23,8 @@
 
     /** longestDeadline: the longest that a client may wait by the settings. */
     static ShutdownSchedule of(long now, long longestDeadline) {
-        long counted = Math.min(LONGEST_DEADLINE_COUNTED, longestDeadline);
-        long endBy = counted + KILL_BEHIND_DEADLINE - BEFORE_KILL;
+        long counted = Math.min(MAX_COUNTED_DEADLINE_US, longestDeadline);
+        long endBy = counted + KILL_GRACE_US - BEFORE_KILL;
         long stopAt = Math.min(endBy, Math.max(LEAST_SERVING, counted));
         long handOver = Math.min(LONGEST_HAND_OVER, stopAt / 2);
         return new ShutdownSchedule(now + Math.min(LEAST_BEFORE_LEAVING, stopAt), now + stopAt - handOver, now + stopAt,
--- a/coordinator/src/main/java/burlford/daemon/Records.java
+++ b/coordinator/src/main/java/burlford/daemon/StoreSynchronizer.java
@@ -1,8 +1,8 @@
 package burlford.daemon;
 
-import burlford.core.Deadlines;
 import burlford.core.ReaderEntry;
-import burlford.core.Roster;
+import burlford.core.ReaderRegistry;
+import burlford.core.Timers;
 import burlford.inventory.Inventory;
 import burlford.policy.Aggregator.ListKind;
 import burlford.store.Store;
@@ -18,37 +18,39 @@
  * What the daemon keeps in its store: the revisions of its configuration, the inventory, and the list of
  * readers as last known. Nothing here is waited for; queries go on with what the coordinator has.
  */
-final class Records {
+final class StoreSynchronizer {
 
     static final String CONFIGURATION = "configuration";
     static final String INVENTORY = "inventory";
     static final String READERS = "readers";
 
     private static final long LOOK = 1_000_000;
-    private static final Logger LOG = Logger.getLogger(Records.class.getName());
+    // Name kept for existing logging configurations.
+    private static final Logger LOG = Logger.getLogger("burlford.daemon.Records");
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final CollectionType ENTRIES = JSON.getTypeFactory().constructCollectionType(List.class,
             ReaderEntry.class);
 
     private final Store store;
-    private final Roster roster;
-    private final Deadlines deadlines;
-    private final Settings settings;
+    private final ReaderRegistry roster;
+    private final Timers deadlines;
+    private final ActiveSettings settings;
     private final boolean fromStore;
     private boolean writing;
 
     /** The settings in force, as JSON. */
-    interface Settings {
-        String own();
+    interface ActiveSettings {
+        String currentJson();
 
         /** Throws where they cannot be used. */
-        void check(String settings) throws Configuration.Bad;
+        void validate(String settings) throws Configuration.InvalidConfigurationException;
 
-        void apply(String settings) throws Configuration.Bad;
+        void apply(String settings) throws Configuration.InvalidConfigurationException;
     }
 
     /** fromStore: the inventory in the store is the list of readers. */
-    Records(Store store, Roster roster, Deadlines deadlines, Settings settings, boolean fromStore) {
+    StoreSynchronizer(Store store, ReaderRegistry roster, Timers deadlines, ActiveSettings settings,
+            boolean fromStore) {
         this.store = store;
         this.roster = roster;
         this.deadlines = deadlines;
@@ -58,34 +60,34 @@
 
     void start() {
         store.watch(this::written);
-        roster.onListed(this::keep);
+        roster.onReadersUpdated(this::keep);
         look();
     }
 
     /** Who leads changes without a word to us; now and then is soon enough to take over its writing. */
     private void look() {
         keep();
-        deadlines.at(roster.now() + LOOK, this::look);
+        deadlines.schedule(roster.now() + LOOK, this::look);
     }
 
     /** Why a value may not stand under a key; null where it may. */
-    String fault(String key, String value) {
+    String rejectionReason(String key, String value) {
         try {
             if (key.equals(READERS)) {
                 return "the coordinators write " + key + " themselves";
             } else if (key.equals(CONFIGURATION)) {
-                settings.check(value);
+                settings.validate(value);
             } else if (key.equals(INVENTORY)) {
                 inventory(value);
             }
             return null;
-        } catch (Configuration.Bad | Inventory.Bad | IOException e) {
+        } catch (Configuration.InvalidConfigurationException | Inventory.InvalidInventoryException | IOException e) {
             return key + " " + e.getMessage();
         }
     }
 
-    private Inventory inventory(String text) throws Inventory.Bad, IOException {
-        return Inventory.read(text, Inventory.isCsv(text), roster.site().cells());
+    private Inventory inventory(String text) throws Inventory.InvalidInventoryException, IOException {
+        return Inventory.parse(text, Inventory.isCsv(text), roster.site().cells());
     }
 
     private void written(String key, Store.Entry entry) {
@@ -96,11 +98,11 @@
             if (key.equals(CONFIGURATION)) {
                 settings.apply(entry.value());
             } else if (key.equals(INVENTORY) && fromStore) {
-                roster.listed(ListKind.WHOLE, inventory(entry.value()).entries());
+                roster.updateReaders(ListKind.WHOLE, inventory(entry.value()).readerEntries());
             } else if (key.equals(READERS) && roster.readers().isEmpty()) {
-                roster.listed(ListKind.CACHED, JSON.readValue(entry.value(), ENTRIES));
+                roster.updateReaders(ListKind.CACHED, JSON.readValue(entry.value(), ENTRIES));
             }
-        } catch (Configuration.Bad | Inventory.Bad | IOException e) {
+        } catch (Configuration.InvalidConfigurationException | Inventory.InvalidInventoryException | IOException e) {
             LOG.log(Level.WARNING, "store: {0} cannot be used: {1}", new Object[] {key, e.getMessage()});
         }
         keep();
@@ -116,7 +118,7 @@
         }
         try {
             if (store.get(CONFIGURATION) == null) {
-                put(CONFIGURATION, settings.own());
+                put(CONFIGURATION, settings.currentJson());
             }
             if (!writing && !roster.readers().isEmpty()) {
                 put(READERS, JSON.writeValueAsString(roster.readers()));
--- a/coordinator/src/main/java/burlford/discovery/ListCall.java
+++ b/coordinator/src/main/java/burlford/discovery/DiscoveryRequest.java
@@ -1,7 +1,7 @@
 package burlford.discovery;
 
+import burlford.net.ChannelReads;
 import burlford.net.Connector;
-import burlford.net.Reads;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -23,7 +23,7 @@
 import java.net.InetSocketAddress;
 
 /** One request to discovery on a connection of its own, and its answer: JSON objects for as long as it goes on. */
-final class ListCall {
+final class DiscoveryRequest {
 
     /** A whole list of 3,200 readers, indented, is about 1 MB. */
     private static final int LONGEST_OBJECT_BYTES = 4 << 20;
@@ -33,21 +33,21 @@
     interface Listener {
 
         /** The answer has begun: discovery took the request. */
-        void began(ListCall call);
+        void responseStarted(DiscoveryRequest call);
 
         /** A part of a list came; the rest is still to come. */
-        void progressed(ListCall call);
+        void listProgressed(DiscoveryRequest call);
 
         /** White space came, or the end of a list: discovery has nothing more to say for now. */
-        void heard(ListCall call);
+        void heartbeatReceived(DiscoveryRequest call);
 
-        void listed(ListCall call, JsonNode list);
+        void listReceived(DiscoveryRequest call, JsonNode list);
 
         /** What came is no JSON. */
-        void unusable(ListCall call, String why);
+        void listMalformed(DiscoveryRequest call, String why);
 
         /** The connection is over, or never came up. Not told of a call that was closed from this side. */
-        void ended(ListCall call, String why);
+        void ended(DiscoveryRequest call, String why);
     }
 
     private final InetSocketAddress address;
@@ -58,7 +58,7 @@
     private Channel channel;
     private boolean over;
 
-    ListCall(InetSocketAddress address, String uri, ObjectMapper json, long openedAt, Listener listener) {
+    DiscoveryRequest(InetSocketAddress address, String uri, ObjectMapper json, long openedAt, Listener listener) {
         this.address = address;
         this.uri = uri;
         this.json = json;
@@ -68,7 +68,7 @@
 
     void open(Bootstrap bootstrap) {
         channel = Connector.connect(bootstrap, address, this::request,
-                cause -> end("no connection: " + cause.getMessage()), new HttpClientCodec(), new Body());
+                cause -> end("no connection: " + cause.getMessage()), new HttpClientCodec(), new ResponseHandler());
     }
 
     /** Ends it; nothing more of it is told. */
@@ -82,7 +82,7 @@
     /** Reads what has come and the event loop has not got to. */
     void readNow() {
         if (channel != null) {
-            Reads.readNow(channel);
+            ChannelReads.readNow(channel);
         }
     }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    private final class Body extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         private JsonObjectStream objects;
 
         @Override
@@ -125,7 +125,7 @@
 
         private void begin(HttpResponse response) {
             if (response.status().code() == OK) {
-                listener.began(ListCall.this);
+                listener.responseStarted(DiscoveryRequest.this);
             } else {
                 end("status " + response.status());
             }
@@ -138,19 +138,19 @@
             try {
                 objects.feed(bytes, list -> {
                     if (!over) {
-                        listener.listed(ListCall.this, list);
+                        listener.listReceived(DiscoveryRequest.this, list);
                     }
                 });
             } catch (JsonProcessingException e) {
-                listener.unusable(ListCall.this, e.getOriginalMessage());
+                listener.listMalformed(DiscoveryRequest.this, e.getOriginalMessage());
             }
             if (over) {
                 return;
             }
             if (objects.inObject()) {
-                listener.progressed(ListCall.this);
+                listener.listProgressed(DiscoveryRequest.this);
             } else {
-                listener.heard(ListCall.this);
+                listener.heartbeatReceived(DiscoveryRequest.this);
             }
         }
 
--- a/coordinator/src/main/java/burlford/discovery/ListReader.java
+++ b/coordinator/src/main/java/burlford/discovery/ReaderListParser.java
@@ -8,42 +8,42 @@
 import java.util.List;
 
 /** Discovery's JSON form of the list. Fields it does not know are skipped. */
-public final class ListReader {
+public final class ReaderListParser {
 
     /** A list that cannot be used; the message says why. */
-    public static final class BadList extends Exception {
+    public static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadList(String message) {
+        MalformedListException(String message) {
             super(message);
         }
     }
 
-    public record Listing(long revision, boolean complete, List<ReaderEntry> entries) { }
+    public record ReaderList(long revision, boolean complete, List<ReaderEntry> entries) { }
 
-    private ListReader() { }
+    private ReaderListParser() { }
 
     /** cells: how many the settings have. */
-    public static Listing read(JsonNode list, int cells) throws BadList {
+    public static ReaderList parse(JsonNode list, int cells) throws MalformedListException {
         if (list == null || !list.isObject() || !list.path("revision").isIntegralNumber()
                 || !list.path("complete").isBoolean() || !list.path("members").isArray()) {
-            throw new BadList("a list needs revision, complete and members");
+            throw new MalformedListException("a list needs revision, complete and members");
         }
         List<ReaderEntry> entries = new ArrayList<>();
         for (JsonNode m : list.get("members")) {
             entries.add(entry(m, cells));
         }
-        return new Listing(list.get("revision").longValue(), list.get("complete").booleanValue(), entries);
+        return new ReaderList(list.get("revision").longValue(), list.get("complete").booleanValue(), entries);
     }
 
-    private static ReaderEntry entry(JsonNode m, int cells) throws BadList {
+    private static ReaderEntry entry(JsonNode m, int cells) throws MalformedListException {
         String id = m.path("id").asText("");
         String address = m.path("host_port").asText("");
         Status status = switch (m.path("phase").asText("")) {
             case "Ready" -> Status.READY;
             case "Terminating" -> Status.DRAINING;
             case "Gone" -> Status.GONE;
-            default -> throw new BadList("member " + id + " has the unknown phase " + m.path("phase"));
+            default -> throw new MalformedListException("member " + id + " has the unknown phase " + m.path("phase"));
         };
         int colon = address.lastIndexOf(':');
         int port = 0;
@@ -57,11 +57,11 @@
         boolean reachable = port > 0 && port < 65536
                 && (NetUtil.isValidIpV4Address(host) || NetUtil.isValidIpV6Address(host));
         if (id.isEmpty() || status != Status.GONE && (!reachable || !m.path("cell").isIntegralNumber())) {
-            throw new BadList("a member lacks its id, a numeric host_port or its cell: " + m);
+            throw new MalformedListException("a member lacks its id, a numeric host_port or its cell: " + m);
         }
         // Counted round, such a cell would stand for another, whose shards the reader does not hold.
         if (status != Status.GONE && (m.path("cell").asLong() < 0 || m.path("cell").asLong() >= cells)) {
-            throw new BadList("member " + id + " has cell " + m.path("cell") + " of " + cells);
+            throw new MalformedListException("member " + id + " has cell " + m.path("cell") + " of " + cells);
         }
         return new ReaderEntry(id, reachable ? host : "", port, m.path("locality").asText(""),
                 m.path("cell").asInt(), status, m.path("size").asDouble(1), m.path("up_since_ms").asLong(0) * 1000);
--- a/coordinator/src/main/java/burlford/discovery/Watch.java
+++ b/coordinator/src/main/java/burlford/discovery/Watch.java
@@ -1,7 +1,7 @@
 package burlford.discovery;
 
-import burlford.core.Deadlines;
-import burlford.core.Roster;
+import burlford.core.ReaderRegistry;
+import burlford.core.Timers;
 import burlford.policy.Aggregator.ListKind;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -40,22 +40,22 @@
 
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
-    private final Roster roster;
-    private final Deadlines deadlines;
+    private final ReaderRegistry roster;
+    private final Timers deadlines;
     private final ObjectMapper json = new ObjectMapper();
-    private final Answers answers = new Answers();
+    private final RequestListener answers = new RequestListener();
     /** Oldest first. */
-    private final Deque<ListCall> calls = new ArrayDeque<>();
+    private final Deque<DiscoveryRequest> calls = new ArrayDeque<>();
     private long revision = -1;
     private boolean fetch;
     private long retry = FIRST_RETRY_US;
-    private Deadlines.Deadline silence;
-    private Deadlines.Deadline opening;
+    private Timers.Timer silence;
+    private Timers.Timer opening;
     private boolean stopped;
     private boolean answered;
     private long readAt;
 
-    public Watch(Bootstrap bootstrap, InetSocketAddress address, Roster roster, Deadlines deadlines) {
+    public Watch(Bootstrap bootstrap, InetSocketAddress address, ReaderRegistry roster, Timers deadlines) {
         this.bootstrap = bootstrap;
         this.address = address;
         this.roster = roster;
@@ -63,17 +63,17 @@
     }
 
     /** known: the list as last held; null when there is none. */
-    public void start(ListReader.Listing known) {
+    public void start(ReaderListParser.ReaderList known) {
         if (known != null) {
             revision = known.revision();
-            roster.listed(ListKind.CACHED, known.entries());
+            roster.updateReaders(ListKind.CACHED, known.entries());
         }
         fetch = known == null;
         open();
     }
 
     /** Discovery has moved. Revisions of another address may mean nothing: its whole list is fetched first. */
-    public void follow(InetSocketAddress to) {
+    public void changeAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             LOG.log(Level.INFO, "discovery: now at {0}", to);
             address = to;
@@ -93,7 +93,7 @@
     public void readNow() {
         if (roster.now() - readAt >= READ_AGAIN_US) {
             readAt = roster.now();
-            List.copyOf(calls).forEach(ListCall::readNow);
+            List.copyOf(calls).forEach(DiscoveryRequest::readNow);
         }
     }
 
@@ -105,7 +105,7 @@
     private void leave() {
         deadlines.cancel(silence);
         deadlines.cancel(opening);
-        calls.forEach(ListCall::close);
+        calls.forEach(DiscoveryRequest::close);
         calls.clear();
     }
 
@@ -116,7 +116,7 @@
         String uri = fetch ? PATH : PATH + "?watch=1&from=" + revision;
         LOG.log(Level.FINE, "discovery: asks {0} for {1}", new Object[] {address, uri});
         roster.counters().add("discovery.connections");
-        ListCall call = new ListCall(address, uri, json, roster.now(), answers);
+        DiscoveryRequest call = new DiscoveryRequest(address, uri, json, roster.now(), answers);
         calls.addLast(call);
         expectWithin(CALL_SILENCE_US);
         call.open(bootstrap);
@@ -124,7 +124,7 @@
 
     private void expectWithin(long wait) {
         deadlines.cancel(silence);
-        silence = deadlines.at(roster.now() + wait, () -> {
+        silence = deadlines.schedule(roster.now() + wait, () -> {
             roster.counters().add("discovery.silent");
             LOG.log(Level.INFO, "discovery: {0} is silent at revision {1}; asked again beside {2} calls",
                     new Object[] {address, Long.toString(revision), calls.size()});
@@ -133,12 +133,12 @@
     }
 
     /** This call says something: the others are not needed. */
-    private void keepOnly(ListCall call) {
-        calls.stream().filter(c -> c != call).forEach(ListCall::close);
+    private void keepOnly(DiscoveryRequest call) {
+        calls.stream().filter(c -> c != call).forEach(DiscoveryRequest::close);
         calls.removeIf(c -> c != call);
     }
 
-    private void take(ListReader.Listing list) {
+    private void take(ReaderListParser.ReaderList list) {
         if (list.complete() || list.revision() != revision) {
             LOG.log(Level.INFO, "discovery: revision {0}, {1}, {2} readers named", new Object[] {
                 Long.toString(list.revision()), list.complete() ? "whole" : "changes", list.entries().size()});
@@ -146,45 +146,45 @@
         revision = list.revision();
         retry = FIRST_RETRY_US;
         fetch &= !list.complete();
-        roster.listed(list.complete() ? ListKind.WHOLE : ListKind.CHANGES, list.entries());
+        roster.updateReaders(list.complete() ? ListKind.WHOLE : ListKind.CHANGES, list.entries());
     }
 
-    private final class Answers implements ListCall.Listener {
+    private final class RequestListener implements DiscoveryRequest.Listener {
 
         @Override
-        public void began(ListCall call) {
+        public void responseStarted(DiscoveryRequest call) {
             answered = true;
             keepOnly(call);
             expectWithin(fetch ? CALL_SILENCE_US : WATCH_SILENCE_US);
         }
 
         @Override
-        public void progressed(ListCall call) {
+        public void listProgressed(DiscoveryRequest call) {
             if (roster.now() - call.openedAt < LONGEST_LIST_US) {
                 expectWithin(CALL_SILENCE_US);
             }
         }
 
         @Override
-        public void heard(ListCall call) {
+        public void heartbeatReceived(DiscoveryRequest call) {
             keepOnly(call);
             expectWithin(WATCH_SILENCE_US);
         }
 
         @Override
-        public void listed(ListCall call, JsonNode list) {
+        public void listReceived(DiscoveryRequest call, JsonNode list) {
             keepOnly(call);
             roster.counters().add("discovery.lists");
             try {
-                take(ListReader.read(list, roster.site().cells()));
-            } catch (ListReader.BadList e) {
-                unusable(call, e.getMessage());
+                take(ReaderListParser.parse(list, roster.site().cells()));
+            } catch (ReaderListParser.MalformedListException e) {
+                listMalformed(call, e.getMessage());
             }
         }
 
         /** The last list stays. What could not be read is lost, so the whole list is fetched over again. */
         @Override
-        public void unusable(ListCall call, String why) {
+        public void listMalformed(DiscoveryRequest call, String why) {
             roster.counters().add("discovery.lists.bad");
             LOG.log(Level.WARNING, "discovery: bad list: {0}", why);
             fetch = true;
@@ -193,14 +193,14 @@
         }
 
         @Override
-        public void ended(ListCall call, String why) {
+        public void ended(DiscoveryRequest call, String why) {
             LOG.log(Level.INFO, "discovery: connection to {0} at revision {1}: {2}", new Object[] {address,
                 Long.toString(revision), why});
             calls.remove(call);
             if (calls.isEmpty() && !stopped) {
                 deadlines.cancel(silence);
                 deadlines.cancel(opening);
-                opening = deadlines.at(roster.now() + retry, Watch.this::open);
+                opening = deadlines.schedule(roster.now() + retry, Watch.this::open);
                 retry = Math.min(LONGEST_RETRY_US, retry * 2);
             }
         }
--- a/coordinator/src/main/java/burlford/inventory/CsvInventory.java
+++ b/coordinator/src/main/java/burlford/inventory/CsvInventory.java
@@ -22,7 +22,7 @@
 
     private CsvInventory() { }
 
-    static void read(String text, Inventory.Builder builder) throws Inventory.Bad, IOException {
+    static void parse(String text, Inventory.Builder builder) throws Inventory.InvalidInventoryException, IOException {
         List<String> header = null;
         CsvFactory factory = CsvFactory.builder().enable(CsvParser.Feature.SKIP_EMPTY_LINES).build();
         try (CsvParser parser = factory.createParser(text)) {
@@ -46,32 +46,35 @@
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new Inventory.Bad(e.getLocation() == null ? 1 : e.getLocation().getLineNr(), e.getOriginalMessage());
+            throw new Inventory.InvalidInventoryException(e.getLocation() == null ? 1 : e.getLocation().getLineNr(),
+                    e.getOriginalMessage());
         }
         if (header == null) {
-            throw new Inventory.Bad(1, "there is no header row");
+            throw new Inventory.InvalidInventoryException(1, "there is no header row");
         }
     }
 
-    private static List<String> header(long line, List<String> names) throws Inventory.Bad {
+    private static List<String> header(long line, List<String> names) throws Inventory.InvalidInventoryException {
         Set<String> seen = new TreeSet<>();
         for (String name : names) {
             if (name.isEmpty() || !seen.add(name)) {
-                throw new Inventory.Bad(line, "the header has an empty or repeated column: " + name);
+                throw new Inventory.InvalidInventoryException(line, "the header has an empty or repeated column: "
+                        + name);
             }
         }
         for (String needed : List.of(ID, Inventory.ADDRESS, Inventory.PORT, Inventory.CELL)) {
             if (!seen.contains(needed)) {
-                throw new Inventory.Bad(line, "the header lacks the column " + needed);
+                throw new Inventory.InvalidInventoryException(line, "the header lacks the column " + needed);
             }
         }
         return names;
     }
 
     private static void row(Inventory.Builder builder, long line, List<String> header, List<String> row)
-            throws Inventory.Bad {
+            throws Inventory.InvalidInventoryException {
         if (row.size() != header.size()) {
-            throw new Inventory.Bad(line, row.size() + " values under " + header.size() + " columns");
+            throw new Inventory.InvalidInventoryException(line, row.size() + " values under " + header.size()
+                    + " columns");
         }
         Map<String, String> variables = new TreeMap<>();
         for (int i = 0; i < row.size(); i++) {
@@ -84,7 +87,7 @@
         builder.add(line, id == null ? "" : id, group == null ? "" : group, variables);
     }
 
-    static String write(Inventory inventory) throws IOException {
+    static String format(Inventory inventory) throws IOException {
         Set<String> columns = new TreeSet<>();
         inventory.hosts().forEach(h -> columns.addAll(h.variables().keySet()));
         columns.addAll(List.of(Inventory.ADDRESS, Inventory.PORT, Inventory.CELL));
