--- a/coordinator/src/main/java/burlford/inventory/Inventory.java
+++ b/coordinator/src/main/java/burlford/inventory/Inventory.java
@@ -26,12 +26,12 @@
     /** The group of hosts that stand in none. */
     static final String UNGROUPED = "ungrouped";
     /** Where the settings, and so the number of cells, are not at hand. */
-    public static final int ANY_CELLS = 65536;
+    public static final int MAX_CELLS = 65536;
 
     /** variables: all that hold for the host, its groups' included. */
     public record Host(String id, String group, Map<String, String> variables) {
 
-        ReaderEntry entry() {
+        ReaderEntry toReaderEntry() {
             return new ReaderEntry(id, variables.get(ADDRESS), Integer.parseInt(variables.get(PORT)),
                     variables.getOrDefault(ZONE, ""), Integer.parseInt(variables.get(CELL)),
                     Status.valueOf(variables.getOrDefault(STATUS, "ready").toUpperCase(Locale.ROOT)),
@@ -40,41 +40,44 @@
     }
 
     /** An inventory that cannot be used; the message begins with the line. */
-    public static final class Bad extends Exception {
+    public static final class InvalidInventoryException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Bad(long line, String message) {
+        InvalidInventoryException(long line, String message) {
             super("line " + line + ": " + message);
         }
 
-        private Bad(Path file, String message) {
+        private InvalidInventoryException(Path file, String message) {
             super(file + " " + message);
         }
     }
 
-    /** By its ending: .csv, or else .yaml or .yml. cells: how many there are. Bad names file and line. */
-    public static Inventory load(Path file, int cells) throws Bad, IOException {
+    /**
+     * By its ending: .csv, or else .yaml or .yml. cells: how many there are. InvalidInventoryException names file and
+     * line.
+     */
+    public static Inventory load(Path file, int cells) throws InvalidInventoryException, IOException {
         try {
-            return read(Files.readString(file), isCsv(file), cells);
-        } catch (Bad e) {
-            throw new Bad(file, e.getMessage());
+            return parse(Files.readString(file), isCsv(file), cells);
+        } catch (InvalidInventoryException e) {
+            throw new InvalidInventoryException(file, e.getMessage());
         } catch (java.nio.charset.CharacterCodingException e) {
-            throw new Bad(file, "is not valid UTF-8");
+            throw new InvalidInventoryException(file, "is not valid UTF-8");
         }
     }
 
-    public static Inventory read(String text, boolean csv, int cells) throws Bad, IOException {
+    public static Inventory parse(String text, boolean csv, int cells) throws InvalidInventoryException, IOException {
         Builder hosts = new Builder(cells);
         if (csv) {
-            CsvInventory.read(text, hosts);
+            CsvInventory.parse(text, hosts);
         } else {
-            YamlInventory.read(text, hosts);
+            YamlInventory.parse(text, hosts);
         }
         return hosts.build();
     }
 
-    public String write(boolean csv) throws IOException {
-        return csv ? CsvInventory.write(this) : YamlInventory.write(this);
+    public String format(boolean csv) throws IOException {
+        return csv ? CsvInventory.format(this) : YamlInventory.format(this);
     }
 
     public static boolean isCsv(Path file) {
@@ -87,8 +90,8 @@
         return first.contains(",") && !first.contains(":") && !first.startsWith("#");
     }
 
-    public List<ReaderEntry> entries() {
-        return hosts.stream().map(Host::entry).toList();
+    public List<ReaderEntry> readerEntries() {
+        return hosts.stream().map(Host::toReaderEntry).toList();
     }
 
     /** Collects hosts and checks each where it stands. */
@@ -102,40 +105,45 @@
             this.cells = cells;
         }
 
-        void add(long line, String id, String group, Map<String, String> variables) throws Bad {
+        void add(long line, String id, String group, Map<String, String> variables) throws InvalidInventoryException {
             if (id.isBlank()) {
-                throw new Bad(line, "a host has no id");
+                throw new InvalidInventoryException(line, "a host has no id");
             }
             Long first = lines.putIfAbsent(id, line);
             if (first != null) {
-                throw new Bad(line, "duplicate id " + id + ", first on line " + first);
+                throw new InvalidInventoryException(line, "duplicate id " + id + ", first on line " + first);
             }
             String address = variables.getOrDefault(ADDRESS, "");
             // Names are not looked up: the coordinator must never wait for an answer about one.
             if (!NetUtil.isValidIpV4Address(address) && !NetUtil.isValidIpV6Address(address)) {
-                throw new Bad(line, "host " + id + " has a bad address: " + ADDRESS + " " + address);
+                throw new InvalidInventoryException(line, "host " + id + " has a bad address: " + ADDRESS + " "
+                        + address);
             }
             whole(line, id, PORT, variables.get(PORT), 1, 65535);
             whole(line, id, CELL, variables.get(CELL), 0, cells - 1);
             first = addresses.putIfAbsent(address + " " + variables.get(PORT), line);
             if (first != null) {
-                throw new Bad(line, "host " + id + " has the address of the host on line " + first);
+                throw new InvalidInventoryException(line, "host " + id + " has the address of the host on line "
+                        + first);
             }
             String size = variables.getOrDefault(SIZE, "1");
             if (!size.matches("[0-9]{1,9}(\\.[0-9]{1,9})?") || Double.parseDouble(size) == 0) {
-                throw new Bad(line, "host " + id + " has a bad size: " + size);
+                throw new InvalidInventoryException(line, "host " + id + " has a bad size: " + size);
             }
             String status = variables.getOrDefault(STATUS, "ready");
             if (!status.equals("ready") && !status.equals("draining")) {
-                throw new Bad(line, "host " + id + " has a bad status (ready or draining): " + status);
+                throw new InvalidInventoryException(line, "host " + id + " has a bad status (ready or draining): "
+                        + status);
             }
             hosts.add(new Host(id, group.isBlank() ? UNGROUPED : group, new TreeMap<>(variables)));
         }
 
-        private static void whole(long line, String id, String name, String value, int least, int most) throws Bad {
+        private static void whole(long line, String id, String name, String value, int least, int most)
+                throws InvalidInventoryException {
             if (value == null || !value.matches("[0-9]{1,5}") || Integer.parseInt(value) < least
                     || Integer.parseInt(value) > most) {
-                throw new Bad(line, "host " + id + " has a bad " + name + " (" + least + " to " + most + "): " + value);
+                throw new InvalidInventoryException(line, "host " + id + " has a bad " + name + " (" + least + " to "
+                        + most + "): " + value);
             }
         }
 
--- a/coordinator/src/main/java/burlford/inventory/YamlInventory.java
+++ b/coordinator/src/main/java/burlford/inventory/YamlInventory.java
@@ -22,22 +22,24 @@
 
     private YamlInventory() { }
 
-    static void read(String text, Inventory.Builder builder) throws Inventory.Bad, IOException {
+    static void parse(String text, Inventory.Builder builder) throws Inventory.InvalidInventoryException, IOException {
         try (YAMLParser parser = new YAMLFactory().createParser(text)) {
             JsonToken first = parser.nextToken();
             if (first == null) {
-                throw new Inventory.Bad(1, "there is no inventory");
+                throw new Inventory.InvalidInventoryException(1, "there is no inventory");
             }
             Node root = node(parser, first);
             for (Map.Entry<String, Node> group : mapping(root, "the inventory").entrySet()) {
                 group(builder, group.getKey(), group.getValue(), Map.of());
             }
         } catch (JsonProcessingException e) {
-            throw new Inventory.Bad(e.getLocation() == null ? 1 : e.getLocation().getLineNr(), e.getOriginalMessage());
+            throw new Inventory.InvalidInventoryException(e.getLocation() == null ? 1 : e.getLocation().getLineNr(),
+                    e.getOriginalMessage());
         }
     }
 
-    private static Node node(YAMLParser parser, JsonToken token) throws Inventory.Bad, IOException {
+    private static Node node(YAMLParser parser, JsonToken token) throws Inventory.InvalidInventoryException,
+            IOException {
         long line = parser.currentTokenLocation().getLineNr();
         if (token == JsonToken.START_OBJECT) {
             Map<String, Node> fields = new LinkedHashMap<>();
@@ -45,7 +47,8 @@
                 long at = parser.currentTokenLocation().getLineNr();
                 String name = parser.currentName();
                 if (fields.containsKey(name)) {
-                    throw new Inventory.Bad(at, "duplicate id " + name + ", first on line " + fields.get(name).line);
+                    throw new Inventory.InvalidInventoryException(at, "duplicate id " + name + ", first on line "
+                            + fields.get(name).line);
                 }
                 Node value = node(parser, parser.nextToken());
                 fields.put(name, new Node(at, value.word, value.fields));
@@ -53,24 +56,25 @@
             return new Node(line, null, fields);
         }
         if (token == JsonToken.START_ARRAY) {
-            throw new Inventory.Bad(line, "a list where a mapping or a word belongs");
+            throw new Inventory.InvalidInventoryException(line, "a list where a mapping or a word belongs");
         }
         return new Node(line, token == JsonToken.VALUE_NULL ? null : parser.getText(), null);
     }
 
-    private static Map<String, Node> mapping(Node node, String what) throws Inventory.Bad {
+    private static Map<String, Node> mapping(Node node, String what) throws Inventory.InvalidInventoryException {
         if (node.fields == null && node.word != null) {
-            throw new Inventory.Bad(node.line, what + " is not a mapping");
+            throw new Inventory.InvalidInventoryException(node.line, what + " is not a mapping");
         }
         return node.fields == null ? Map.of() : node.fields;
     }
 
     private static void group(Inventory.Builder builder, String name, Node group, Map<String, String> outer)
-            throws Inventory.Bad {
+            throws Inventory.InvalidInventoryException {
         Map<String, Node> fields = mapping(group, "group " + name);
         for (Map.Entry<String, Node> f : fields.entrySet()) {
             if (!f.getKey().equals("hosts") && !f.getKey().equals("vars") && !f.getKey().equals("children")) {
-                throw new Inventory.Bad(f.getValue().line, "group " + name + " has the unknown key " + f.getKey());
+                throw new Inventory.InvalidInventoryException(f.getValue().line, "group " + name
+                        + " has the unknown key " + f.getKey());
             }
         }
         Map<String, String> inner = new TreeMap<>(outer);
@@ -91,10 +95,12 @@
         }
     }
 
-    private static void variables(Map<String, String> into, Node from, String what) throws Inventory.Bad {
+    private static void variables(Map<String, String> into, Node from, String what)
+            throws Inventory.InvalidInventoryException {
         for (Map.Entry<String, Node> v : mapping(from, what).entrySet()) {
             if (v.getValue().fields != null) {
-                throw new Inventory.Bad(v.getValue().line, what + ": " + v.getKey() + " is not a plain value");
+                throw new Inventory.InvalidInventoryException(v.getValue().line, what + ": " + v.getKey()
+                        + " is not a plain value");
             }
             if (v.getValue().word == null || v.getValue().word.isEmpty()) {
                 into.remove(v.getKey());
@@ -105,7 +111,7 @@
     }
 
     /** Each host with all its variables, under its group. */
-    static String write(Inventory inventory) throws IOException {
+    static String format(Inventory inventory) throws IOException {
         Map<String, Map<String, Map<String, String>>> groups = new LinkedHashMap<>();
         inventory.hosts().forEach(h -> groups.computeIfAbsent(h.group(), g -> new LinkedHashMap<>())
                 .put(h.id(), h.variables()));
--- a/coordinator/src/main/java/burlford/lanes/LaneSettings.java
+++ b/coordinator/src/main/java/burlford/lanes/LaneSettings.java
@@ -14,10 +14,11 @@
     /** lane: from 0 up to lanes - 1. */
     public static Settings of(Settings s, int lane, int lanes) {
         Rules r = s.rules();
-        Rules rules = new Rules(r.drainGrace(), r.coldFrom(), r.cold(), r.tipMultiple(), r.fall(), r.hasBudget(),
-                r.budgetFree() / lanes, r.budgetShare(), r.budgetWindow(), r.answerSlack(), r.askEvery());
-        return new Settings(s.position() * lanes + lane, s.instances() * lanes, s.zone(), s.askForList(), s.cells(),
+        Rules rules = new Rules(r.drainGrace(), r.slowStartInitialCapacity(), r.slowStartDuration(),
+                r.overloadMultiple(), r.overloadWindow(), r.hasBudget(),
+                r.budgetBase() / lanes, r.budgetShare(), r.budgetWindow(), r.answerSlack(), r.askEvery());
+        return new Settings(s.position() * lanes + lane, s.instances() * lanes, s.zone(), s.watchesList(), s.cells(),
                 s.reach(), s.shards(), s.batch(), s.callWork(), s.reportsInAnswers(), s.overShareWorth(),
-                s.reportFields(), s.classes(), s.tenants(), rules, s.allowed(), s.prices(), s.retriesMarked());
+                s.reportFields(), s.classes(), s.tenants(), rules, s.allowed(), s.prices(), s.clientsMarkRetries());
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/LaneShare.java
+++ b/coordinator/src/main/java/burlford/lanes/LaneShare.java
@@ -1,12 +1,12 @@
 package burlford.lanes;
 
-import burlford.core.Census;
-import burlford.core.Commons;
-import burlford.core.Crowd;
+import burlford.core.ClientLimits;
+import burlford.core.ReaderConnectionLimits;
+import burlford.core.SharedState;
 import burlford.policy.Aggregator.Outcome;
 import burlford.policy.Dispatcher.Part;
 import burlford.policy.Dispatcher.Send;
-import burlford.policy.Word;
+import burlford.policy.PeerUpdate;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,19 +21,19 @@
 
 /**
  * One lane's part in what the process holds together. What the lane has taken is noted here, so that it can all be
- * given back when the lane fails. Its {@link Commons}, {@link Census} and {@link Crowd} are the lane's thread's;
- * methods said to be so are for any thread.
+ * given back when the lane fails. Its {@link SharedState}, {@link ReaderConnectionLimits} and {@link ClientLimits} are
+ * the lane's thread's; methods said to be so are for any thread.
  */
-public final class LaneShare implements Commons {
+public final class LaneShare implements SharedState {
 
     /** Shorter than this a loop's being late is its ordinary work, not standing still (microseconds). */
-    static final long STILL = 50_000;
+    static final long STALL_THRESHOLD_US = 50_000;
 
-    private final Ground ground;
+    private final ProcessResources ground;
     private final int lane;
     private final Executor loop;
     private final LongSupplier clock;
-    final WordQueue words = new WordQueue();
+    final PeerUpdateQueue peerUpdates = new PeerUpdateQueue();
     private final ConcurrentLinkedQueue<Runnable> orders = new ConcurrentLinkedQueue<>();
     private volatile long told;
     private volatile long taken;
@@ -43,7 +43,7 @@
     private Runnable makeRoom = () -> { };
     private Runnable onHeard = () -> { };
 
-    private List<Word> said = new ArrayList<>();
+    private List<PeerUpdate> said = new ArrayList<>();
     private final Set<String> ids = new HashSet<>();
     private final Set<String> asks = new HashSet<>();
     private final Map<String, Integer> readers = new HashMap<>();
@@ -53,12 +53,12 @@
     private long numbersEnd;
 
     private final AtomicInteger connections = new AtomicInteger();
-    private volatile long longestWaiting = Long.MAX_VALUE;
+    private volatile long longestIdleSince = Long.MAX_VALUE;
     private volatile long askedAt;
     private volatile long answeredAt;
 
     /** loop: runs what it is given on the lane's thread. clock: microseconds, the process's. */
-    public LaneShare(Ground ground, int lane, Executor loop, LongSupplier clock) {
+    public LaneShare(ProcessResources ground, int lane, Executor loop, LongSupplier clock) {
         this.ground = ground;
         this.lane = lane;
         this.loop = loop;
@@ -78,15 +78,15 @@
 
     // ---- orders: what is told to all lanes
 
-    /** Any one thread: adds an order; it counts from {@link #tell} on. */
-    public void order(Runnable order) {
+    /** Any one thread: adds an order; it counts from {@link #publishBroadcasts} on. */
+    public void stageBroadcast(Runnable order) {
         orders.add(order);
     }
 
     /** What was ordered counts from now on: before its next decision the lane takes it. */
-    public void tell(long generation) {
+    public void publishBroadcasts(long generation) {
         told = generation;
-        post(this::catchUp);
+        post(this::applyBroadcasts);
     }
 
     /** A lane that has ended meanwhile does nothing any more. */
@@ -99,24 +99,24 @@
     }
 
     /** Any thread: the generation of what the lane has taken. */
-    public long taken() {
+    public long appliedGeneration() {
         return taken;
     }
 
     /** Any thread: from now on the lane decides nothing and answers nothing but failure. */
-    public void giveUp() {
+    public void fence() {
         givenUp = true;
-        ground.probes.left(this); // nobody would be told of them
-        ground.room.reclaim(lane);
-        ground.bytes.reclaim(lane);
+        ground.probes.releaseAll(this); // nobody would be told of them
+        ground.queryCapacity.reclaim(lane);
+        ground.requestBytes.reclaim(lane);
     }
 
-    public boolean isGivenUp() {
+    public boolean isFenced() {
         return givenUp;
     }
 
     @Override
-    public void catchUp() {
+    public void applyBroadcasts() {
         if (givenUp) {
             onGivenUp.run();
             return;
@@ -141,7 +141,7 @@
     // ---- rules of the process
 
     @Override
-    public boolean claim(String id) {
+    public boolean claimId(String id) {
         if (!ground.ids.claim(id, this)) {
             return false;
         }
@@ -150,15 +150,15 @@
     }
 
     @Override
-    public void release(String id) {
+    public void releaseId(String id) {
         if (ids.remove(id)) {
             ground.ids.release(id, this);
         }
     }
 
     @Override
-    public boolean enter(int units, int most) {
-        if (!ground.room.take(lane, units)) {
+    public boolean tryAcquireCapacity(int units, int most) {
+        if (!ground.queryCapacity.tryAcquire(lane, units)) {
             return false;
         }
         used = used + units;
@@ -166,23 +166,23 @@
     }
 
     @Override
-    public void leave(int units) {
+    public void releaseCapacity(int units) {
         used = used - units;
-        ground.room.give(lane, units);
+        ground.queryCapacity.release(lane, units);
     }
 
     @Override
-    public long number() {
+    public long nextQueryNumber() {
         if (number == numbersEnd) {
-            number = ground.numbers.getAndAdd(Ground.NUMBERS);
-            numbersEnd = number + Ground.NUMBERS;
+            number = ground.nextQueryNumber.getAndAdd(ProcessResources.QUERY_NUMBER_BLOCK);
+            numbersEnd = number + ProcessResources.QUERY_NUMBER_BLOCK;
         }
         return ++number;
     }
 
     @Override
-    public boolean mayProbe(String reader) {
-        if (asks.contains(reader) || !ground.probes.ask(reader, this)) {
+    public boolean claimProbe(String reader) {
+        if (asks.contains(reader) || !ground.probes.claim(reader, this)) {
             return false;
         }
         asks.add(reader);
@@ -192,22 +192,22 @@
     // ---- what lanes tell each other
 
     @Override
-    public void sent(Send send, Part part, int queryClass, long at, long until) {
-        said.add(new Word.Sent(send, part, queryClass, at, until));
+    public void notifySent(Send send, Part part, int queryClass, long at, long until) {
+        said.add(new PeerUpdate.AttemptSent(send, part, queryClass, at, until));
     }
 
     @Override
-    public void ended(Send send, Outcome outcome, long at, long elapsed, double[] load) {
-        said.add(new Word.Ended(send, outcome, at, elapsed, load));
+    public void notifyEnded(Send send, Outcome outcome, long at, long elapsed, double[] load) {
+        said.add(new PeerUpdate.AttemptEnded(send, outcome, at, elapsed, load));
     }
 
     @Override
-    public void probed(String reader, Outcome outcome, long at, long elapsed, double[] load) {
-        said.add(new Word.Probed(reader, outcome, at, elapsed, load));
+    public void notifyProbed(String reader, Outcome outcome, long at, long elapsed, double[] load) {
+        said.add(new PeerUpdate.ProbeEnded(reader, outcome, at, elapsed, load));
         if (asks.remove(reader)) {
-            ground.probes.answered(reader, this);
+            ground.probes.release(reader, this);
             // Others may be waiting for it.
-            flush();
+            flushPeerUpdates();
             for (LaneShare other : ground.shares) {
                 if (other != this) {
                     other.post(other.onHeard);
@@ -217,37 +217,37 @@
     }
 
     /** At the end of each turn: what was said in it goes to the others. */
-    public void flush() {
+    public void flushPeerUpdates() {
         if (!said.isEmpty()) {
-            ground.say(this, said);
+            ground.sendPeerUpdates(this, said);
             said = new ArrayList<>();
         }
     }
 
     @Override
-    public List<Word> heard() {
-        if (words.isEmpty()) {
+    public List<PeerUpdate> pollPeerUpdates() {
+        if (peerUpdates.isEmpty()) {
             return List.of();
         }
-        List<Word> all = new ArrayList<>();
-        for (List<Word> next = words.poll(); next != null; next = words.poll()) {
+        List<PeerUpdate> all = new ArrayList<>();
+        for (List<PeerUpdate> next = peerUpdates.poll(); next != null; next = peerUpdates.poll()) {
             all.addAll(next);
         }
-        if (words.lost()) {
-            all.add(0, new Word.Lost());
+        if (peerUpdates.lostSinceLastCheck()) {
+            all.add(0, new PeerUpdate.UpdatesLost());
         }
         return all;
     }
 
     /** Any thread: turns' worth of words that were dropped since the lane was too slow to hear them. */
-    public long dropped() {
-        return words.dropped();
+    public long droppedBatches() {
+        return peerUpdates.droppedBatches();
     }
 
     // ---- does it turn?
 
     /** The supervisor's thread: asks the lane whether it turns; then is what the lane does on hearing it. */
-    public void ask(long now, Runnable then) {
+    public void sendHeartbeat(long now, Runnable then) {
         askedAt = now;
         post(() -> {
             answeredAt = clock.getAsLong();
@@ -257,30 +257,30 @@
     }
 
     /** Any thread: when the lane answered last; 0: not yet. */
-    public long answeredAt() {
+    public long heartbeatAnsweredAt() {
         return answeredAt;
     }
 
     /** As measured from outside: while the loop stood still, so did every clock of its own. */
     @Override
-    public long stoodStill() {
+    public long stallUs() {
         long asked = askedAt;
         long silent = asked == 0 ? 0 : clock.getAsLong() - asked;
-        return silent < STILL ? 0 : silent;
+        return silent < STALL_THRESHOLD_US ? 0 : silent;
     }
 
     // ---- connections
 
     /** Any thread: a client's connection is on its way to this lane. */
-    public void placed() {
+    public void connectionPlaced() {
         connections.incrementAndGet();
-        ground.clients.incrementAndGet();
+        ground.clientConnections.incrementAndGet();
     }
 
     /** Any thread: one that was placed here is gone. */
-    public void gone() {
+    public void connectionClosed() {
         connections.decrementAndGet();
-        ground.clients.decrementAndGet();
+        ground.clientConnections.decrementAndGet();
     }
 
     public int connections() {
@@ -288,21 +288,21 @@
     }
 
     /** Any thread: queries and parts open here. */
-    public int open() {
+    public int openUnits() {
         return used;
     }
 
     /** Since when the connection here has waited that would go first to make room; Long.MAX_VALUE: none may go. */
-    public void longestWaiting(long since) {
-        longestWaiting = since;
+    public void longestIdleSince(long since) {
+        longestIdleSince = since;
     }
 
-    long longestWaiting() {
-        return longestWaiting;
+    long longestIdleSince() {
+        return longestIdleSince;
     }
 
-    public Crowd crowd() {
-        return new Crowd() {
+    public ClientLimits clientLimits() {
+        return new ClientLimits() {
             @Override
             public void opened() {
                 // Counted when it was placed: until it is here it must not look as if there were room.
@@ -310,17 +310,17 @@
 
             @Override
             public void closed() {
-                gone();
+                connectionClosed();
             }
 
             @Override
-            public int open() {
-                return ground.clients.get();
+            public int openCount() {
+                return ground.clientConnections.get();
             }
 
             @Override
-            public boolean closeOwn() {
-                LaneShare longest = ground.longestWaiting();
+            public boolean mustEvictOwn() {
+                LaneShare longest = ground.laneWithLongestIdle();
                 if (longest == null || longest == LaneShare.this) {
                     return true;
                 }
@@ -329,8 +329,8 @@
             }
 
             @Override
-            public boolean hold(int bytes) {
-                if (!ground.bytes.take(lane, bytes)) {
+            public boolean tryReserve(int bytes) {
+                if (!ground.requestBytes.tryAcquire(lane, bytes)) {
                     return false;
                 }
                 held += bytes;
@@ -340,35 +340,36 @@
             @Override
             public void release(int bytes) {
                 held -= bytes;
-                ground.bytes.give(lane, bytes);
+                ground.requestBytes.release(lane, bytes);
             }
         };
     }
 
-    public Census census() {
-        return new Census() {
+    public ReaderConnectionLimits readerConnectionLimits() {
+        return new ReaderConnectionLimits() {
             @Override
             public void opened(String reader) {
                 ground.readerConnections.incrementAndGet();
                 readers.merge(reader, 1, Integer::sum);
-                ground.byReader.merge(reader, 1, Integer::sum);
+                ground.connectionsByReader.merge(reader, 1, Integer::sum);
             }
 
             @Override
             public void closed(String reader) {
                 ground.readerConnections.decrementAndGet();
                 readers.merge(reader, -1, Integer::sum);
-                ground.byReader.computeIfPresent(reader, (r, n) -> n == 1 ? null : n - 1);
+                ground.connectionsByReader.computeIfPresent(reader, (r, n) -> n == 1 ? null : n - 1);
             }
 
             @Override
-            public int open() {
+            public int openCount() {
                 return ground.readerConnections.get();
             }
 
             @Override
             public boolean mayOpen(String reader, int own) {
-                return own == 0 || ground.byReader.getOrDefault(reader, 0) < ground.mostForOne();
+                return own == 0 || ground.connectionsByReader.getOrDefault(reader, 0)
+                        < ground.maxConnectionsPerReader();
             }
         };
     }
@@ -376,19 +377,19 @@
     /** The lane has ended: all it took and did not give back is given back, and nobody tells it anything more. */
     public void close() {
         ground.shares.remove(this);
-        List.copyOf(ids).forEach(this::release);
-        ground.probes.left(this);
+        List.copyOf(ids).forEach(this::releaseId);
+        ground.probes.releaseAll(this);
         asks.clear();
-        leave(used);
-        ground.bytes.give(lane, held);
+        releaseCapacity(used);
+        ground.requestBytes.release(lane, held);
         held = 0;
-        Census census = census();
+        ReaderConnectionLimits census = readerConnectionLimits();
         Map.copyOf(readers).forEach((reader, n) -> {
             for (int i = 0; i < n; i++) {
                 census.closed(reader);
             }
         });
-        ground.room.reclaim(lane);
-        ground.bytes.reclaim(lane);
+        ground.queryCapacity.reclaim(lane);
+        ground.requestBytes.reclaim(lane);
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/Leases.java
+++ b/coordinator/src/main/java/burlford/lanes/Leases.java
@@ -16,12 +16,12 @@
     /** A lane takes at once what would last it so many times over; it keeps at most twice as much unused. */
     private static final int CHUNKS_EACH = 8;
 
-    private final Cells cells;
+    private final AtomicLongs cells;
     private final int lanes;
     private volatile long chunk;
 
     /** cells: all nought, one more than lanes. total: how much there is, at least 0. */
-    public Leases(Cells cells, int lanes, long total) {
+    public Leases(AtomicLongs cells, int lanes, long total) {
         this.cells = cells;
         this.lanes = lanes;
         chunk(total);
@@ -33,7 +33,7 @@
     }
 
     /** Takes so much for a lane, all or nothing. */
-    public boolean take(int lane, long amount) {
+    public boolean tryAcquire(int lane, long amount) {
         if (cells.get(POOL) < 0) {
             reclaim(lane);
         } else if (takeUpTo(store(lane), amount, amount) == amount) {
@@ -51,7 +51,7 @@
     }
 
     /** Gives back what a lane took and no longer uses. */
-    public void give(int lane, long amount) {
+    public void release(int lane, long amount) {
         if (cells.get(POOL) < 0) {
             add(POOL, amount);
             return;
@@ -98,7 +98,7 @@
             if (taken < least || taken <= 0) {
                 return 0;
             }
-            if (cells.set(cell, held, held - taken)) {
+            if (cells.compareAndSet(cell, held, held - taken)) {
                 return taken;
             }
         }
@@ -111,6 +111,6 @@
         long held;
         do {
             held = cells.get(cell);
-        } while (!cells.set(cell, held, held + amount));
+        } while (!cells.compareAndSet(cell, held, held + amount));
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/WordQueue.java
+++ b/coordinator/src/main/java/burlford/lanes/PeerUpdateQueue.java
@@ -1,6 +1,6 @@
 package burlford.lanes;
 
-import burlford.policy.Word;
+import burlford.policy.PeerUpdate;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import org.jctools.queues.MpmcArrayQueue;
@@ -9,17 +9,17 @@
  * What the other lanes tell one lane: bounded, and full it drops the oldest, for what is new makes it worthless. Any
  * lane may offer; one takes.
  */
-final class WordQueue {
+final class PeerUpdateQueue {
 
     /** Turns' worth of words: at a turn each millisecond, what three others say in a fifth of a second. */
     static final int CAPACITY = 512;
 
-    private final MpmcArrayQueue<List<Word>> queue = new MpmcArrayQueue<>(CAPACITY);
+    private final MpmcArrayQueue<List<PeerUpdate>> queue = new MpmcArrayQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
-    private long toldOf;
+    private long reportedDropped;
 
     /** All of one turn of one lane. */
-    void offer(List<Word> words) {
+    void offer(List<PeerUpdate> words) {
         while (!queue.offer(words)) {
             if (queue.poll() != null) {
                 dropped.incrementAndGet();
@@ -28,7 +28,7 @@
     }
 
     /** null: nothing more. */
-    List<Word> poll() {
+    List<PeerUpdate> poll() {
         return queue.poll();
     }
 
@@ -37,14 +37,14 @@
     }
 
     /** Some were dropped since this was last asked; the taker asks. */
-    boolean lost() {
+    boolean lostSinceLastCheck() {
         long now = dropped.get();
-        boolean lost = now != toldOf;
-        toldOf = now;
+        boolean lost = now != reportedDropped;
+        reportedDropped = now;
         return lost;
     }
 
-    long dropped() {
+    long droppedBatches() {
         return dropped.get();
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/Placement.java
+++ b/coordinator/src/main/java/burlford/lanes/Placement.java
@@ -15,8 +15,8 @@
 public final class Placement {
 
     /** Looks in a row before a lane counts as behind, and for how long a move is left to show what it did. */
-    static final int LOOKS = 4;
-    static final long SETTLE = 2_000_000;
+    static final int CHECKS_UNTIL_OVERLOADED = 4;
+    static final long MOVE_COOLDOWN_US = 2_000_000;
     /** Behind: so many times the mean of open queries and so many more, or so much later (microseconds). */
     private static final double FAR = 1.5;
     private static final double FAR_MORE = 4;
@@ -27,7 +27,7 @@
     private static final double PART = 0.5;
 
     /** A lane as last seen. lag: microseconds from when it was told something until it heard. */
-    public record View(int lane, boolean serving, long open, long connections, long lag) { }
+    public record LaneLoad(int lane, boolean serving, long openUnits, long connections, long lag) { }
 
     /** So many connections that are between requests are to go from one lane to another. */
     public record Move(int from, int to, int connections) { }
@@ -48,15 +48,15 @@
     }
 
     /** The lane for a new connection; -1 where none serves. */
-    public int place(List<View> lanes) {
-        View best = null;
+    public int place(List<LaneLoad> lanes) {
+        LaneLoad best = null;
         int ties = 0;
-        for (View v : lanes) {
+        for (LaneLoad v : lanes) {
             if (!v.serving()) {
                 continue;
             }
-            int order = best == null ? -1 : v.open() != best.open() ? Long.compare(v.open(), best.open())
-                    : Long.compare(v.connections(), best.connections());
+            int order = best == null ? -1 : v.openUnits() != best.openUnits() ? Long.compare(v.openUnits(),
+                    best.openUnits()) : Long.compare(v.connections(), best.connections());
             ties = order < 0 ? 1 : order == 0 ? ties + 1 : ties;
             if (order < 0 || order == 0 && random.nextInt(ties) == 0) {
                 best = v;
@@ -74,24 +74,24 @@
     }
 
     /** A look at all lanes, at even intervals; says what is to move, at most once for each lane. */
-    public List<Move> look(long now, List<View> lanes) {
-        List<View> serving = lanes.stream().filter(View::serving).toList();
-        for (View v : serving) {
-            open[v.lane()] += NEWEST * (v.open() - open[v.lane()]);
+    public List<Move> rebalance(long now, List<LaneLoad> lanes) {
+        List<LaneLoad> serving = lanes.stream().filter(LaneLoad::serving).toList();
+        for (LaneLoad v : serving) {
+            open[v.lane()] += NEWEST * (v.openUnits() - open[v.lane()]);
             lag[v.lane()] += NEWEST * (v.lag() - lag[v.lane()]);
         }
         double meanOpen = serving.stream().mapToDouble(v -> open[v.lane()]).average().orElse(0);
         double leastLag = serving.stream().mapToDouble(v -> lag[v.lane()]).min().orElse(0);
         List<Move> moves = new ArrayList<>();
-        for (View v : serving) {
+        for (LaneLoad v : serving) {
             int lane = v.lane();
             boolean far = open[lane] > FAR * meanOpen + FAR_MORE || lag[lane] > FAR * leastLag + LATE;
             behind[lane] = far ? behind[lane] + 1 : 0;
-            if (behind[lane] < LOOKS || now < leftAloneUntil[lane]) {
+            if (behind[lane] < CHECKS_UNTIL_OVERLOADED || now < leftAloneUntil[lane]) {
                 continue;
             }
-            View least = null;
-            for (View other : serving) {
+            LaneLoad least = null;
+            for (LaneLoad other : serving) {
                 boolean fit = other != v && behind[other.lane()] == 0 && now >= leftAloneUntil[other.lane()];
                 if (fit && (least == null || open[other.lane()] < open[least.lane()])) {
                     least = other;
@@ -101,7 +101,7 @@
             if (count > 0) {
                 moves.add(new Move(lane, least.lane(), count));
                 for (int moved : new int[] {lane, least.lane()}) {
-                    leftAloneUntil[moved] = now + SETTLE;
+                    leftAloneUntil[moved] = now + MOVE_COOLDOWN_US;
                     behind[moved] = 0;
                 }
             }
@@ -110,7 +110,7 @@
     }
 
     /** Connections differ in what they ask, so what moves is a share of them by the open queries they stand for. */
-    private int surplus(View from, View to) {
+    private int surplus(LaneLoad from, LaneLoad to) {
         double gap = open[from.lane()] - open[to.lane()];
         double share = open[from.lane()] > 0 && gap > 0 ? gap / 2 / open[from.lane()] : 0.25;
         return from.connections() < 2 ? 0 : (int) Math.max(1, Math.floor(PART * share * from.connections()));
--- a/coordinator/src/main/java/burlford/lanes/ProbeGate.java
+++ b/coordinator/src/main/java/burlford/lanes/ProbeGate.java
@@ -8,16 +8,16 @@
     private final ConcurrentHashMap<String, Object> out = new ConcurrentHashMap<>();
 
     /** False: another lane's question is out, and what comes of it will be told to all. */
-    public boolean ask(String reader, Object lane) {
+    public boolean claim(String reader, Object lane) {
         return out.putIfAbsent(reader, lane) == null;
     }
 
-    public void answered(String reader, Object lane) {
+    public void release(String reader, Object lane) {
         out.remove(reader, lane);
     }
 
     /** A lane ended: what it asked is not answered any more. */
-    public void left(Object lane) {
+    public void releaseAll(Object lane) {
         out.values().removeIf(l -> l == lane);
     }
 }
--- a/coordinator/src/main/java/burlford/net/BacklogAge.java
+++ b/coordinator/src/main/java/burlford/net/BacklogAge.java
@@ -19,7 +19,7 @@
     private static final int MOST_ACCEPTED = 16;
     private static final long NONE = Long.MAX_VALUE;
 
-    private final LongSupplier unreadSince;
+    private final LongSupplier earliestArrivalAt;
     private int accepted;
     /** Since when the backlog may not have been empty; NONE: the last accepts emptied it. */
     private long filledSince = NONE;
@@ -28,7 +28,7 @@
 
     /** unreadSince: since when what is read now may have waited. */
     public BacklogAge(LongSupplier unreadSince) {
-        this.unreadSince = unreadSince;
+        this.earliestArrivalAt = unreadSince;
     }
 
     @Override
@@ -39,7 +39,7 @@
     }
 
     private long waitingSince() {
-        return Math.min(filledSince, unreadSince.getAsLong());
+        return Math.min(filledSince, earliestArrivalAt.getAsLong());
     }
 
     @Override
--- a/coordinator/src/main/java/burlford/policy/Aggregator.java
+++ b/coordinator/src/main/java/burlford/policy/Aggregator.java
@@ -52,72 +52,74 @@
     }
 
     /** What a load report may hold; QUEUE is the requests in hand. */
-    enum Field { QUEUE, WAITING, BUSY, SERVICE_MS, RATE, ERROR_RATE, OTHER }
+    enum ReportField { QUEUE, WAITING, BUSY, SERVICE_MS, RATE, ERROR_RATE, OTHER }
 
     /** A class of query. need, floor: shares of the parts' weight for a whole answer and for any answer. */
     record QueryClass(long aim, long deadline, Effect effect, long repeatWindow, double worth, double lateWorth,
-            double need, double floor, double partWorth, int followUp) { }
+            double need, double floor, double partialWorth, int followUp) { }
 
     record Tenant(double allowancePerSecond, double share) { }
 
     /** Rule figures. A drainGrace, fall, budgetWindow of 0: not stated. */
-    record Rules(long drainGrace, double coldFrom, long cold, double tipMultiple, long fall, boolean hasBudget,
-            double budgetFree, double budgetShare, long budgetWindow, long answerSlack, long askEvery) { }
+    record Rules(long drainGrace, double slowStartInitialCapacity, long slowStartDuration, double overloadMultiple,
+            long overloadWindow, boolean hasBudget, double budgetBase, double budgetShare, long budgetWindow,
+            long answerSlack, long askEvery) { }
 
     /** What the site permits. */
-    record Allowed(int attempts, int open, boolean secondCopies, boolean cancel, boolean probe, boolean comeBack,
-            long longestComeBack) { }
+    record Allowed(int maxAttempts, int maxOpen, boolean mayHedge, boolean mayCancel, boolean mayProbe,
+            boolean mayAdviseRetryAfter, long maxRetryAfter) { }
 
     /** Prices: share of the result per crossing part, per new connection a part, and per probe a part. */
     record Prices(double crossZone, double handshake, double probe) { }
 
     /** retriesMarked: clients say of a later try that it is one. */
-    record Settings(int position, int instances, int zone, boolean askForList, int cells, int reach, int shards,
-            int batch, long callWork, boolean reportsInAnswers, double overShareWorth, List<Field> reportFields,
+    record Settings(int position, int instances, int zone, boolean watchesList, int cells, int reach, int shards,
+            int batch, long callWork, boolean reportsInAnswers, double overShareWorth, List<ReportField> reportFields,
             List<QueryClass> classes, List<Tenant> tenants, Rules rules, Allowed allowed, Prices prices,
-            boolean retriesMarked) { }
+            boolean clientsMarkRetries) { }
 
     /** A replica in the list. startedAt 0: long ago or not known. */
-    record Listed(long replica, int zone, int cell, Status status, double size, long startedAt) { }
+    record ListEntry(long replica, int zone, int cell, Status status, double size, long startedAt) { }
 
-    sealed interface Event permits Replicas, QueryIn, PartIn, AttemptEnd, ClientLeft, Alarm, Probed,
-            PeerSent, PeerEnd, PeerProbed, PeersLost { }
+    sealed interface Event permits ListUpdate, QueryArrived, PartArrived, AttemptEnded, ClientLeft, Alarm, ProbeEnded,
+            PeerAttemptSent, PeerAttemptEnded, PeerProbeEnded, PeerUpdatesLost { }
 
-    record Replicas(ListKind kind, List<Listed> entries) implements Event { }
+    record ListUpdate(ListKind kind, List<ListEntry> entries) implements Event { }
 
     /** A query; its parts follow in the same round under the same number. hint 0: none; key 0: none. */
-    record QueryIn(long query, long number, int queryClass, int parts, long timeLeft, long hint, boolean clientRetry,
-            long key, int tenant) implements Event { }
+    record QueryArrived(long query, long number, int queryClass, int partCount, long timeLeft, long hint,
+            boolean clientRetry, long key, int tenant) implements Event { }
 
-    record PartIn(long part, long number, int shard, double weight, long hint, long key) implements Event { }
+    record PartArrived(long part, long number, int shard, double weight, long hint, long key) implements Event { }
 
     /** report: one value per settings field, or empty. */
-    record AttemptEnd(long part, int attempt, long replica, Outcome outcome, long elapsed, boolean partOver,
-            double[] report) implements Event { }
+    record AttemptEnded(long part, int attempt, long replica, Outcome outcome, long elapsed, boolean partClosed,
+            double[] loadReport) implements Event { }
 
     /** The client has left, or the query's time is over. */
     record ClientLeft(long query) implements Event { }
 
     record Alarm(long tag) implements Event { }
 
-    record Probed(long replica, Outcome outcome, long elapsed, double[] report) implements Event { }
+    record ProbeEnded(long replica, Outcome outcome, long elapsed, double[] loadReport) implements Event { }
 
     /**
      * Another instance of this process sent a part, as attempt: an id that only this attempt has in the process. It
      * waits no longer than until. What peers did is told with its time, in the past; no instance need have peers.
      */
-    record PeerSent(long attempt, long replica, int queryClass, int shard, long hint, long key, long at, long until)
-            implements Event { }
+    record PeerAttemptSent(long attempt, long replica, int queryClass, int shard, long hint, long key, long sentAt,
+            long waitsUntil) implements Event { }
 
-    record PeerEnd(long attempt, long replica, Outcome outcome, long at, long elapsed, double[] report)
-            implements Event { }
+    record PeerAttemptEnded(long attempt, long replica, Outcome outcome, long endedAt, long elapsed,
+            double[] loadReport) implements Event { }
 
-    record PeerProbed(long replica, Outcome outcome, long at, long elapsed, double[] report) implements Event { }
+    record PeerProbeEnded(long replica, Outcome outcome, long endedAt, long elapsed, double[] loadReport)
+            implements Event { }
 
     /** Some of what peers said was lost: what they have out is not known. */
-    record PeersLost() implements Event { }
+    record PeerUpdatesLost() implements Event { }
 
-    sealed interface Action permits Send, Answer, Refuse, Fail, Cancel, SetAlarm, Probe, DropIdle,
+    sealed interface Action permits Send, Answer, Refuse, Fail, Cancel, SetAlarm, Probe, CloseIdleConnections,
             WatchList { }
 
     record Send(long part, long replica, long timeout) implements Action { }
@@ -125,7 +127,7 @@
     record Answer(long query, boolean whole) implements Action { }
 
     /** Turned away with the promise that asking again does no harm. comeBack 0: no advice. */
-    record Refuse(long query, long comeBack, Reason reason) implements Action { }
+    record Refuse(long query, long retryAfter, Reason reason) implements Action { }
 
     record Fail(long query, Reason reason) implements Action { }
 
@@ -136,7 +138,7 @@
     record Probe(long replica) implements Action { }
 
     /** Closes this router's idle connections to a server: what is sent next opens a new one. */
-    record DropIdle(long replica) implements Action { }
+    record CloseIdleConnections(long replica) implements Action { }
 
     /** Asks for the list and its changes from now on. */
     record WatchList() implements Action { }
--- a/coordinator/src/main/java/burlford/policy/Dispatcher.java
+++ b/coordinator/src/main/java/burlford/policy/Dispatcher.java
@@ -17,7 +17,7 @@
 public final class Dispatcher {
 
     /** Parts a query may have: its parts' ids in the module are the query's with the part's place added. */
-    public static final int MOST_PARTS = 1000;
+    public static final int MAX_PARTS = 1000;
     private static final int ID_SPAN = 1024;
     private static final int MOST_ATTEMPTS = 16;
 
@@ -34,11 +34,11 @@
     public enum Verdict { ANSWERED, REFUSED, FAILED }
 
     /** The final word on a query. comeBack: advice to a refused client, 0 for none. reason: null where answered. */
-    public record Ending(long query, Verdict verdict, boolean whole, long comeBack, Aggregator.Reason reason) { }
+    public record FinalAnswer(long query, Verdict verdict, boolean whole, long retryAfter, Aggregator.Reason reason) { }
 
     /** What to do now, list by list in this order. wakeIn: call tick after so long; 0: no need. */
     public record Decisions(List<Cancel> cancels, List<String> closeIdle, List<Send> sends, List<String> probes,
-            List<Ending> endings, long wakeIn) { }
+            List<FinalAnswer> finalAnswers, long tickDelay) { }
 
     private final Decide module;
     private final Map<String, Long> numbers = new HashMap<>();
@@ -57,19 +57,19 @@
      * Shares what the rules count with the dispatcher that this one replaces, once the list has been told here: budgets
      * of readers in slow start and of further attempts, which new settings neither renew nor double.
      */
-    public void inherit(Dispatcher before) {
-        module.inherit(before.module);
+    public void shareBudgetsWith(Dispatcher before) {
+        module.shareBudgetsWith(before.module);
     }
 
     /** A query came in; its number is the caller's, above 0 and never used twice. */
-    public Decisions pick(long now, long query, int queryClass, int tenant, long key, boolean retry, long timeLeft,
+    public Decisions submit(long now, long query, int queryClass, int tenant, long key, boolean retry, long timeLeft,
             List<Part> parts) {
         List<Event> events = new ArrayList<>(parts.size() + 1);
-        events.add(new Aggregator.QueryIn(query * ID_SPAN, query, queryClass, parts.size(), timeLeft, 0, retry, key,
-                tenant));
+        events.add(new Aggregator.QueryArrived(query * ID_SPAN, query, queryClass, parts.size(), timeLeft, 0, retry,
+                key, tenant));
         for (int i = 0; i < parts.size(); i++) {
             Part p = parts.get(i);
-            events.add(new Aggregator.PartIn(id(query, i), query, p.shard(), p.weight(), p.hint(), p.key()));
+            events.add(new Aggregator.PartArrived(id(query, i), query, p.shard(), p.weight(), p.hint(), p.key()));
         }
         return round(now, events);
     }
@@ -79,21 +79,21 @@
      *
      * @return whether it may still begin, as far as the module keeps count: the window and budget of repeats
      */
-    public boolean begin(long now, Send attempt) {
+    public boolean tryBegin(long now, Send attempt) {
         latest = Math.max(latest, now);
-        return module.begin(id(attempt.query(), attempt.part()), attempt.attempt(), latest);
+        return module.tryBegin(id(attempt.query(), attempt.part()), attempt.attempt(), latest);
     }
 
     /** An attempt ended. over: its part needs no more. load: the reader's report, or empty. */
     public Decisions report(long now, Send attempt, Aggregator.Outcome outcome, long elapsed, boolean over,
             double[] load) {
-        return round(now, List.of(new Aggregator.AttemptEnd(id(attempt.query(), attempt.part()), attempt.attempt(),
+        return round(now, List.of(new Aggregator.AttemptEnded(id(attempt.query(), attempt.part()), attempt.attempt(),
                 known(attempt.reader()), outcome, elapsed, over, load)));
     }
 
     /** A probe ended. */
     public Decisions report(long now, String reader, Aggregator.Outcome outcome, long elapsed, double[] load) {
-        return round(now, List.of(new Aggregator.Probed(known(reader), outcome, elapsed, load)));
+        return round(now, List.of(new Aggregator.ProbeEnded(known(reader), outcome, elapsed, load)));
     }
 
     /** The client of a query has left, or its time is over. */
@@ -114,9 +114,9 @@
                 listed.add(r.id());
             }
         });
-        List<Aggregator.Listed> entries = readers.stream().map(r -> new Aggregator.Listed(number(r.id()), r.zone(),
-                r.cell(), r.status(), r.size(), r.startedAt())).toList();
-        Decisions decisions = round(now, List.of(new Aggregator.Replicas(kind, entries)));
+        List<Aggregator.ListEntry> entries = readers.stream().map(r -> new Aggregator.ListEntry(number(r.id()),
+                r.zone(), r.cell(), r.status(), r.size(), r.startedAt())).toList();
+        Decisions decisions = round(now, List.of(new Aggregator.ListUpdate(kind, entries)));
         // Readers are replaced by new ones all day; nothing is sent to one that is gone, so its name is not needed.
         numbers.keySet().retainAll(listed);
         names.values().retainAll(listed);
@@ -124,19 +124,20 @@
     }
 
     /** What other coordinators of this process did and learnt; it counts from the next decision on. */
-    public void hear(List<Word> words) {
-        for (Word word : words) {
-            if (word instanceof Word.Sent w) {
+    public void addPeerUpdates(List<PeerUpdate> words) {
+        for (PeerUpdate word : words) {
+            if (word instanceof PeerUpdate.AttemptSent w) {
                 Part p = w.part();
-                heard.add(new Aggregator.PeerSent(peer(w.send()), known(w.send().reader()), w.queryClass(), p.shard(),
-                        p.hint(), p.key(), w.at(), w.until()));
-            } else if (word instanceof Word.Ended w) {
-                heard.add(new Aggregator.PeerEnd(peer(w.send()), known(w.send().reader()), w.outcome(), w.at(),
-                        w.elapsed(), w.load()));
-            } else if (word instanceof Word.Probed w) {
-                heard.add(new Aggregator.PeerProbed(known(w.reader()), w.outcome(), w.at(), w.elapsed(), w.load()));
+                heard.add(new Aggregator.PeerAttemptSent(peer(w.send()), known(w.send().reader()), w.queryClass(),
+                        p.shard(), p.hint(), p.key(), w.sentAt(), w.waitsUntil()));
+            } else if (word instanceof PeerUpdate.AttemptEnded w) {
+                heard.add(new Aggregator.PeerAttemptEnded(peer(w.send()), known(w.send().reader()), w.outcome(),
+                        w.endedAt(), w.elapsed(), w.loadReport()));
+            } else if (word instanceof PeerUpdate.ProbeEnded w) {
+                heard.add(new Aggregator.PeerProbeEnded(known(w.reader()), w.outcome(), w.endedAt(), w.elapsed(),
+                        w.loadReport()));
             } else {
-                heard.add(new Aggregator.PeersLost());
+                heard.add(new Aggregator.PeerUpdatesLost());
             }
         }
     }
@@ -170,20 +171,21 @@
                 d.cancels.add(new Cancel(query(a.part()), part(a.part()), a.attempt()));
             } else if (action instanceof Aggregator.Probe a) {
                 d.probes.add(names.get(a.replica()));
-            } else if (action instanceof Aggregator.DropIdle a) {
+            } else if (action instanceof Aggregator.CloseIdleConnections a) {
                 d.closeIdle.add(names.get(a.replica()));
             } else if (action instanceof Aggregator.Answer a) {
-                d.endings.add(new Ending(query(a.query()), Verdict.ANSWERED, a.whole(), 0, null));
+                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.ANSWERED, a.whole(), 0, null));
             } else if (action instanceof Aggregator.Refuse a) {
-                d.endings.add(new Ending(query(a.query()), Verdict.REFUSED, false, a.comeBack(), a.reason()));
+                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.REFUSED, false, a.retryAfter(),
+                        a.reason()));
             } else if (action instanceof Aggregator.Fail a) {
-                d.endings.add(new Ending(query(a.query()), Verdict.FAILED, false, 0, a.reason()));
+                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.FAILED, false, 0, a.reason()));
             } else if (action instanceof Aggregator.SetAlarm a) {
                 wakeIn = wakeIn == 0 ? a.delay() : Math.min(wakeIn, a.delay());
             }
             // WatchList: discovery is always watched.
         }
-        return new Decisions(d.cancels, d.closeIdle, d.sends, d.probes, d.endings, wakeIn);
+        return new Decisions(d.cancels, d.closeIdle, d.sends, d.probes, d.finalAnswers, wakeIn);
     }
 
     /** Forgets the attempt numbers of a query that has ended and has none out. */
@@ -226,7 +228,7 @@
     }
 
     /** Readers by name that are held; no more than are listed, however many came and went. */
-    int readers() {
+    int readerCount() {
         return Math.max(numbers.size(), names.size());
     }
 
--- a/coordinator/src/main/java/burlford/policy/Word.java
+++ b/coordinator/src/main/java/burlford/policy/PeerUpdate.java
@@ -8,17 +8,19 @@
  * What one coordinator of a process did or learnt, as the others of the process hear it. Times are microseconds on
  * the clock that all of them share: what is old when it is heard counts as old.
  */
-public sealed interface Word {
+public sealed interface PeerUpdate {
 
     /** It sent an attempt of a part; until: it will not wait longer. */
-    record Sent(Send send, Part part, int queryClass, long at, long until) implements Word { }
+    record AttemptSent(Send send, Part part, int queryClass, long sentAt, long waitsUntil) implements PeerUpdate { }
 
     /** An attempt it sent has ended. load: the reader's report, or empty. */
-    record Ended(Send send, Outcome outcome, long at, long elapsed, double[] load) implements Word { }
+    record AttemptEnded(Send send, Outcome outcome, long endedAt, long elapsed, double[] loadReport)
+            implements PeerUpdate { }
 
     /** A probe it sent has ended. */
-    record Probed(String reader, Outcome outcome, long at, long elapsed, double[] load) implements Word { }
+    record ProbeEnded(String reader, Outcome outcome, long endedAt, long elapsed, double[] loadReport)
+            implements PeerUpdate { }
 
     /** Words were lost: what others have out is not known any more. */
-    record Lost() implements Word { }
+    record UpdatesLost() implements PeerUpdate { }
 }
--- a/coordinator/src/main/java/burlford/policy/StartTimes.java
+++ b/coordinator/src/main/java/burlford/policy/StartTimes.java
@@ -16,18 +16,18 @@
     private long firstShift;
 
     /** A first list comes, whose latest start is the one given; 0: none has one. */
-    void first(long now, long latest) {
+    void recordFirstList(long now, long latest) {
         long age = now - latest;
         firstShift = latest != 0 && (age < 0 || age > LONGEST_AGE) ? age : 0;
     }
 
     /** The start of a server of the first list. */
-    long ofFirst(long told) {
+    long startInFirstList(long told) {
         return told == 0 ? 0 : told + firstShift;
     }
 
     /** The start of a server that has turned up, or started anew, since the list before; told 0: no time came. */
-    long ofNoticed(long now, long told) {
+    long startWhenNoticed(long now, long told) {
         if (told == 0) {
             return now;
         }
--- a/coordinator/src/main/java/burlford/search/SearchFront.java
+++ b/coordinator/src/main/java/burlford/search/SearchFront.java
@@ -56,11 +56,11 @@
 
     @Override
     public void serve(Exchange e) {
-        coordinator.catchUp(); // a search is read under the settings it is taken under
+        coordinator.applyPendingUpdates(); // a search is read under the settings it is taken under
         SearchRequest request;
         try {
             request = SearchRequest.read(e, indices, coordinator.site(), json);
-        } catch (SearchFault f) {
+        } catch (SearchRequestException f) {
             coordinator.counters().add("search.requests.bad");
             reply(e, f.status, f.type == null ? plain(f) : error(f.status, f.type, f.getMessage(), f.details), f.pretty,
                     f.headers);
@@ -84,10 +84,10 @@
             String id = String.format(Locale.ROOT, "%016x", Dispatcher.hash(idSalt + "." + ++lastId));
             Query query = new Query(id, index.queryClass(), r.tenant(), key, false,
                     Query.deadline(e.arrivedAt, r.waitMs()), r.text().getBytes(StandardCharsets.UTF_8), parts);
-            number = coordinator.take(query, new Reply(e, r));
+            number = coordinator.submit(query, new Reply(e, r));
         }
         long taken = number;
-        e.onLeft(() -> coordinator.left(taken));
+        e.onClientDisconnect(() -> coordinator.clientLeft(taken));
     }
 
     @Override
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void crowded(Exchange e, String why) {
+    public void refuseOverloaded(Exchange e, String why) {
         coordinator.counters().add("clients.requests.crowded");
         reply(e, HttpResponseStatus.TOO_MANY_REQUESTS, error(HttpResponseStatus.TOO_MANY_REQUESTS, REJECTED,
                 why, Map.of()), false, Map.of());
@@ -142,13 +142,14 @@
         }
 
         @Override
-        public boolean stillWaits() {
-            return exchange.clientIsConnected();
+        public boolean isConnected() {
+            return exchange.isClientConnected();
         }
 
         @Override
         public void failed(String why) {
-            ObjectNode body = error(HttpResponseStatus.GATEWAY_TIMEOUT, "search_phase_execution_exception", why, Map.of());
+            ObjectNode body = error(HttpResponseStatus.GATEWAY_TIMEOUT, "search_phase_execution_exception", why,
+                    Map.of());
             ((ObjectNode) body.get("error")).put("phase", "query").put("grouped", true).putArray("failed_shards");
             reply(exchange, HttpResponseStatus.GATEWAY_TIMEOUT, body, request.pretty(), Map.of());
         }
@@ -208,7 +209,7 @@
         return body.put("status", status.code());
     }
 
-    private ObjectNode plain(SearchFault f) {
+    private ObjectNode plain(SearchRequestException f) {
         return json.createObjectNode().put("error", f.getMessage()).put("status", f.status.code());
     }
 
--- a/coordinator/src/main/java/burlford/servers/Frame.java
+++ b/coordinator/src/main/java/burlford/servers/Frame.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /** A frame of the readers' wire: a length that covers what follows, least byte first, a letter and the rest. */
-record Frame(char letter, byte[] rest) {
+record Frame(char type, byte[] payload) {
 
     /** Longer than any value a reader may give. */
-    static final int LONGEST = 1 << 17;
+    static final int MAX_BYTES = 1 << 17;
     static final int LENGTH_BYTES = 4;
 
     ByteBuf encode() {
-        return Unpooled.buffer(LENGTH_BYTES + 1 + rest.length).writeIntLE(1 + rest.length).writeByte(letter)
-                .writeBytes(rest);
+        return Unpooled.buffer(LENGTH_BYTES + 1 + payload.length).writeIntLE(1 + payload.length).writeByte(type)
+                .writeBytes(payload);
     }
 
     static Frame of(char letter, String rest) {
@@ -29,10 +29,10 @@
     /** Its rest from an offset on as text; what is not valid text makes the frame a bad one. */
     String text(int from) {
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(rest, from, rest.length - from))
+            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(payload, from, payload.length - from))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new CorruptedFrameException("frame " + letter + " is not valid text", e);
+            throw new CorruptedFrameException("frame " + type + " is not valid text", e);
         }
     }
 
--- a/coordinator/src/main/java/burlford/servers/ReaderConnection.java
+++ b/coordinator/src/main/java/burlford/servers/ReaderConnection.java
@@ -1,10 +1,10 @@
 package burlford.servers;
 
 import burlford.core.Call;
-import burlford.core.Deadlines;
 import burlford.core.ReaderEntry;
+import burlford.core.Timers;
+import burlford.net.ChannelReads;
 import burlford.net.Connector;
-import burlford.net.Reads;
 import burlford.policy.Aggregator.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -42,12 +42,12 @@
     private static final int MOST_GIVEN_UP = 256;
 
     /** A call on this connection, and whether its frame's first byte may, and its last has been written. */
-    private static final class Carried {
+    private static final class InFlightCall {
         final Call call;
         boolean begun;
         boolean written;
 
-        Carried(Call call) {
+        InFlightCall(Call call) {
             this.call = call;
         }
     }
@@ -55,35 +55,35 @@
     private final ReaderPool pool;
     private final String reader;
     private final InetSocketAddress address;
-    private final Map<String, Carried> calls = new LinkedHashMap<>();
+    private final Map<String, InFlightCall> calls = new LinkedHashMap<>();
     private final ArrayDeque<Probe> probes = new ArrayDeque<>();
     /** Parts given up here, whose answers come late or not at all. */
     private final Set<String> givenUp = new LinkedHashSet<>();
     /** What came with the bytes being read, told once all are read: nothing new may go here behind spoilt ones. */
     private final ArrayDeque<Runnable> arrived = new ArrayDeque<>();
-    private final Frames frames = new Frames();
+    private final FrameSplitter frames = new FrameSplitter();
     private Channel channel;
     private boolean up;
     private boolean closed;
     private boolean retired;
-    private Deadlines.Deadline connectBy;
-    private Deadlines.Deadline restBy;
+    private Timers.Timer connectBy;
+    private Timers.Timer restBy;
     /** When something last came, or was first waited for. */
     private long heardAt;
-    private Deadlines.Deadline quiet;
+    private Timers.Timer quiet;
     /** Questions whether it is alive that wait for their answers, and whether one waits for long. */
     private int asked;
     private boolean doubtful;
-    private Deadlines.Deadline idleUntil;
-    private Deadlines.Deadline writeNext;
+    private Timers.Timer idleUntil;
+    private Timers.Timer writeNext;
 
     /** A probe on this connection: answers come in the order of the questions. */
-    record Probe(long sentAt, Deadlines.Deadline[] by, boolean[] over) { }
+    record Probe(long sentAt, Timers.Timer[] by, boolean[] over) { }
 
     /** Cuts out the frames, and knows whether one has come in part. */
-    private static final class Frames extends LengthFieldBasedFrameDecoder {
-        Frames() {
-            super(ByteOrder.LITTLE_ENDIAN, Frame.LONGEST, 0, Frame.LENGTH_BYTES, 0, Frame.LENGTH_BYTES, true);
+    private static final class FrameSplitter extends LengthFieldBasedFrameDecoder {
+        FrameSplitter() {
+            super(ByteOrder.LITTLE_ENDIAN, Frame.MAX_BYTES, 0, Frame.LENGTH_BYTES, 0, Frame.LENGTH_BYTES, true);
         }
 
         boolean begun() {
@@ -99,7 +99,7 @@
 
     void open(Bootstrap bootstrap) {
         pool.counters().add("readers.connections.opened");
-        connectBy = pool.deadlines().at(pool.now() + pool.site().connectTimeout(), () -> {
+        connectBy = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
             if (!up) {
                 pool.counters().add("readers.connections.timed_out");
                 close();
@@ -110,7 +110,7 @@
     }
 
     private void connected() {
-        pool.deadlines().cancel(connectBy);
+        pool.timers().cancel(connectBy);
         if (!closed) {
             up = true;
             probes.forEach(p -> write(Frame.of('U', "")));
@@ -119,9 +119,11 @@
         }
     }
 
-    /** At the end of a turn, when all that came in it is read: a client that left or a reader that drains goes first. */
+    /**
+     * At the end of a turn, when all that came in it is read: a client that left or a reader that drains goes first.
+     */
     private void writeWaiting() {
-        for (Carried c : List.copyOf(calls.values())) {
+        for (InFlightCall c : List.copyOf(calls.values())) {
             if (!closed && isFlushed() && !c.begun && calls.get(c.call.partId) == c) {
                 write(c);
             }
@@ -135,13 +137,13 @@
     }
 
     /** Takes nothing new and closes once nothing is out: its reader has started anew or is going. */
-    void retire() {
+    void drain() {
         retired = true;
         rest();
     }
 
     boolean hasRoom() {
-        return !closed && !retired && restBy == null && !doubtful && calls.size() < pool.callsEach();
+        return !closed && !retired && restBy == null && !doubtful && calls.size() < pool.maxCallsPerConnection();
     }
 
     /** Answers name their part: two calls of one name, from queries of one id, cannot share a connection. */
@@ -150,11 +152,11 @@
     }
 
     /** May carry one more beyond its number, which then waits unread; nothing else may be opened. */
-    boolean couldQueue(Call call) {
+    boolean canQueue(Call call) {
         return !closed && !retired && restBy == null && !doubtful && !calls.containsKey(call.partId);
     }
 
-    int load() {
+    int inFlightCalls() {
         return calls.size();
     }
 
@@ -163,13 +165,13 @@
     }
 
     boolean carries(Call call) {
-        Carried c = calls.get(call.partId);
+        InFlightCall c = calls.get(call.partId);
         return c != null && c.call == call;
     }
 
     void send(Call call) {
         stir();
-        Carried c = new Carried(call);
+        InFlightCall c = new InFlightCall(call);
         if (calls.isEmpty()) {
             heardAt = pool.now();
         }
@@ -186,10 +188,10 @@
     }
 
     /** Looks at the call once more when all else is done: what may pass between that look and the write is short. */
-    private void write(Carried c) {
+    private void write(InFlightCall c) {
         long encodedAt = pool.now();
         ByteBuf frame = encode(c.call, encodedAt);
-        if (!pool.listener().clearToSend(c.call)) {
+        if (!pool.listener().passesSendCheck(c.call)) {
             frame.release();
             return;
         }
@@ -226,14 +228,14 @@
 
     private void writeWaitingSoon() {
         if (!closed) {
-            pool.deadlines().cancel(writeNext);
-            writeNext = pool.deadlines().at(pool.now(), this::writeWaiting);
+            pool.timers().cancel(writeNext);
+            writeNext = pool.timers().schedule(pool.now(), this::writeWaiting);
         }
     }
 
     /** The reader is told at once, so that no further attempt of the part can overtake the word. */
-    void giveUp(Call call) {
-        Carried c = calls.remove(call.partId);
+    void cancel(Call call) {
+        InFlightCall c = calls.remove(call.partId);
         if (c.begun && !closed && !(c.written && isFlushed())) {
             closeOverUnfinishedFrame(); // a cancel would wait there too
         } else if (c.begun && !closed) {
@@ -248,7 +250,7 @@
 
     /** Takes a call back whose frame has not been written to its last byte; false where it has. */
     boolean withdraw(Call call) {
-        Carried c = calls.get(call.partId);
+        InFlightCall c = calls.get(call.partId);
         if (c.written) {
             return false;
         }
@@ -261,24 +263,25 @@
     }
 
     /**
-     * The socket is full, and the rest of a frame in front of it would go out whenever the reader reads again. The reader
-     * may have the other calls, and is as silent to them.
+     * The socket is full, and the rest of a frame in front of it would go out whenever the reader reads again. The
+     * reader may have the other calls, and is as silent to them.
      */
     private void closeOverUnfinishedFrame() {
         if (closed) {
             return;
         }
         pool.counters().add("readers.connections.full");
-        List<Carried> out = new ArrayList<>(calls.values());
+        List<InFlightCall> out = new ArrayList<>(calls.values());
         calls.clear();
         close();
-        out.forEach(c -> pool.listener().ended(c.call, c.written ? Outcome.TIMEOUT : Outcome.NO_CONNECTION, null, NO_LOAD));
+        out.forEach(c -> pool.listener().callEnded(c.call, c.written ? Outcome.TIMEOUT : Outcome.NO_CONNECTION, null,
+                NO_LOAD));
     }
 
     void probe() {
         stir();
-        Probe p = new Probe(pool.now(), new Deadlines.Deadline[1], new boolean[1]);
-        p.by[0] = pool.deadlines().at(pool.now() + pool.site().connectTimeout(), () -> {
+        Probe p = new Probe(pool.now(), new Timers.Timer[1], new boolean[1]);
+        p.by[0] = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
             readWhatHasCome();
             ended(p, Outcome.TIMEOUT, NO_LOAD);
         });
@@ -291,9 +294,9 @@
     private void ended(Probe p, Outcome outcome, double[] load) {
         if (!p.over[0]) {
             p.over[0] = true;
-            pool.deadlines().cancel(p.by[0]);
+            pool.timers().cancel(p.by[0]);
             rest();
-            pool.listener().probed(reader, outcome, p.sentAt, load);
+            pool.listener().probeEnded(reader, outcome, p.sentAt, load);
         }
     }
 
@@ -308,14 +311,14 @@
     private void listen() {
         if (quiet == null && up && !closed && !calls.isEmpty()) {
             long patience = Math.max(pool.site().connectTimeout(), pool.site().longestDeadline() / 8);
-            quiet = pool.deadlines().at(Math.max(heardAt + patience, pool.now() + 1), () -> {
+            quiet = pool.timers().schedule(Math.max(heardAt + patience, pool.now() + 1), () -> {
                 quiet = null;
                 readWhatHasCome();
                 if (!closed && !calls.isEmpty() && pool.now() - heardAt >= patience) {
                     asked++;
                     pool.counters().add("readers.connections.asked");
                     write(Frame.of('I', ""));
-                    quiet = pool.deadlines().at(pool.now() + patience, () -> doubt(patience));
+                    quiet = pool.timers().schedule(pool.now() + patience, () -> doubt(patience));
                 } else {
                     listen();
                 }
@@ -329,15 +332,15 @@
             return;
         }
         doubtful = asked > 0;
-        quiet = pool.deadlines().at(pool.now() + patience, () -> {
+        quiet = pool.timers().schedule(pool.now() + patience, () -> {
             quiet = null;
             readWhatHasCome();
             if (!closed && asked > 0) {
                 pool.counters().add("readers.connections.silent");
-                List<Carried> out = new ArrayList<>(calls.values());
+                List<InFlightCall> out = new ArrayList<>(calls.values());
                 calls.clear();
                 close();
-                out.forEach(c -> pool.listener().ended(c.call, Outcome.TIMEOUT, null, NO_LOAD));
+                out.forEach(c -> pool.listener().callEnded(c.call, Outcome.TIMEOUT, null, NO_LOAD));
             } else {
                 listen();
             }
@@ -347,12 +350,12 @@
     /** Before it is judged to be silent: in a turn of the event loop that takes long, answers lie unread. */
     private void readWhatHasCome() {
         if (up && !closed) {
-            Reads.readNow(channel);
+            ChannelReads.readNow(channel);
         }
     }
 
     private void stir() {
-        pool.deadlines().cancel(idleUntil);
+        pool.timers().cancel(idleUntil);
         idleUntil = null;
     }
 
@@ -363,7 +366,7 @@
             if (retired) {
                 close();
             } else {
-                idleUntil = pool.deadlines().at(pool.now() + pool.site().connIdle() * 9 / 10, this::close);
+                idleUntil = pool.timers().schedule(pool.now() + pool.site().connIdle() * 9 / 10, this::close);
             }
         }
     }
@@ -381,7 +384,7 @@
             return;
         }
         heardAt = pool.now();
-        switch (frame.letter()) {
+        switch (frame.type()) {
             case 'I' -> {
                 if (asked == 0) {
                     throw new CorruptedFrameException("an answer to a question nobody asked");
@@ -401,20 +404,20 @@
                 arrived.add(() -> ended(p, error ? Outcome.ERROR : Outcome.OK, load));
             }
             case 'Z' -> throw new CorruptedFrameException("the reader could not use a frame: " + frame.text(0));
-            default -> throw new CorruptedFrameException("unknown letter " + (int) frame.letter());
+            default -> throw new CorruptedFrameException("unknown letter " + (int) frame.type());
         }
     }
 
     private void answer(Frame frame) {
         int end = 0;
-        while (end < frame.rest().length && frame.rest()[end] != '\n') {
+        while (end < frame.payload().length && frame.payload()[end] != '\n') {
             end++;
         }
-        String[] words = new String(frame.rest(), 0, end, StandardCharsets.UTF_8).split(" ");
-        if (end == frame.rest().length || words.length != 4) {
+        String[] words = new String(frame.payload(), 0, end, StandardCharsets.UTF_8).split(" ");
+        if (end == frame.payload().length || words.length != 4) {
             throw new CorruptedFrameException("an answer without its line of four words");
         }
-        Carried c = calls.get(words[0]);
+        InFlightCall c = calls.get(words[0]);
         if (c == null) {
             if (!givenUp.remove(words[0])) {
                 throw new CorruptedFrameException("an answer to a part that is not out here");
@@ -426,25 +429,25 @@
             case "200" -> Outcome.OK;
             case "500" -> Outcome.ERROR;
             case "503" -> Outcome.FULL;
-            default -> throw new Spoilt(c, "an answer ends in " + words[1]);
+            default -> throw new MalformedAnswerException(c, "an answer ends in " + words[1]);
         };
         String value;
         try {
             value = outcome == Outcome.OK ? frame.text(end + 1) : null;
         } catch (CorruptedFrameException e) {
-            throw new Spoilt(c, e.getMessage());
+            throw new MalformedAnswerException(c, e.getMessage());
         }
         calls.remove(words[0]);
         double[] load = LoadReport.parse(words[3], pool.site().reportColumns());
-        arrived.add(() -> pool.listener().ended(c.call, outcome, value, load));
+        arrived.add(() -> pool.listener().callEnded(c.call, outcome, value, load));
     }
 
     /** An answer of which it is known what part it is to. */
-    private static final class Spoilt extends CorruptedFrameException {
+    private static final class MalformedAnswerException extends CorruptedFrameException {
         private static final long serialVersionUID = 1L;
-        private final transient Carried of;
+        private final transient InFlightCall of;
 
-        Spoilt(Carried of, String message) {
+        MalformedAnswerException(InFlightCall of, String message) {
             super(message);
             this.of = of;
         }
@@ -460,10 +463,11 @@
             if (isIdle()) {
                 spoilt(null, "more bytes than the answer's");
             } else if (restBy == null) {
-                restBy = pool.deadlines().at(pool.now() + REST_OF_FRAME, () -> spoilt(null, "a frame that does not end"));
+                restBy = pool.timers().schedule(pool.now() + REST_OF_FRAME,
+                        () -> spoilt(null, "a frame that does not end"));
             }
         } else if (restBy != null) {
-            pool.deadlines().cancel(restBy);
+            pool.timers().cancel(restBy);
             restBy = null;
         }
         tell();
@@ -481,7 +485,7 @@
      * one out longest, has failed and may have run; the others out here are given up and may be sent elsewhere.
      * They were not reset: that would cast suspicion on their queries.
      */
-    private void spoilt(Carried named, String why) {
+    private void spoilt(InFlightCall named, String why) {
         if (closed) {
             return;
         }
@@ -489,11 +493,11 @@
         if (!calls.isEmpty()) {
             LOG.log(Level.WARNING, "reader {0}: {1}", new Object[] {reader, why});
         }
-        List<Carried> out = new ArrayList<>(calls.values());
+        List<InFlightCall> out = new ArrayList<>(calls.values());
         calls.clear();
         close();
-        Carried failed = named == null && !out.isEmpty() ? out.get(0) : named;
-        out.forEach(c -> pool.listener().ended(c.call, !c.written ? Outcome.NO_CONNECTION
+        InFlightCall failed = named == null && !out.isEmpty() ? out.get(0) : named;
+        out.forEach(c -> pool.listener().callEnded(c.call, !c.written ? Outcome.NO_CONNECTION
                 : c == failed ? Outcome.ERROR : Outcome.CANCELLED, null, NO_LOAD));
     }
 
@@ -507,7 +511,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Throwable why = cause.getCause() instanceof CorruptedFrameException ? cause.getCause() : cause;
         if (why instanceof DecoderException) {
-            spoilt(why instanceof Spoilt s ? s.of : null, why.getMessage());
+            spoilt(why instanceof MalformedAnswerException s ? s.of : null, why.getMessage());
             return;
         }
         if (why instanceof IOException) {
@@ -525,21 +529,21 @@
         }
         closed = true;
         stir();
-        pool.deadlines().cancel(connectBy);
-        pool.deadlines().cancel(restBy);
-        pool.deadlines().cancel(quiet);
-        pool.deadlines().cancel(writeNext);
+        pool.timers().cancel(connectBy);
+        pool.timers().cancel(restBy);
+        pool.timers().cancel(quiet);
+        pool.timers().cancel(writeNext);
         pool.forget(reader, this);
         tell();
-        List<Carried> lost = new ArrayList<>(calls.values());
+        List<InFlightCall> lost = new ArrayList<>(calls.values());
         List<Probe> unanswered = new ArrayList<>(probes);
         calls.clear();
         probes.clear();
         if (lost.stream().anyMatch(c -> c.written)) {
-            pool.broken();
+            pool.connectionBroken();
         }
-        for (Carried c : lost) {
-            pool.listener().ended(c.call, c.written ? Outcome.DROPPED : Outcome.NO_CONNECTION, null, NO_LOAD);
+        for (InFlightCall c : lost) {
+            pool.listener().callEnded(c.call, c.written ? Outcome.DROPPED : Outcome.NO_CONNECTION, null, NO_LOAD);
         }
         for (Probe p : unanswered) {
             ended(p, up ? Outcome.DROPPED : Outcome.NO_CONNECTION, NO_LOAD);
--- a/coordinator/src/main/java/burlford/servers/ReaderPool.java
+++ b/coordinator/src/main/java/burlford/servers/ReaderPool.java
@@ -1,13 +1,13 @@
 package burlford.servers;
 
 import burlford.core.Call;
-import burlford.core.Census;
 import burlford.core.Coordinator;
 import burlford.core.Counters;
-import burlford.core.Deadlines;
+import burlford.core.ReaderConnectionLimits;
 import burlford.core.ReaderEntry;
-import burlford.core.Readers;
+import burlford.core.ReaderTransport;
 import burlford.core.Site;
+import burlford.core.Timers;
 import burlford.policy.Aggregator.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import java.util.ArrayList;
@@ -22,34 +22,34 @@
  * The connections to all readers: each call goes on one with room, or on a new one. A connection that breaks
  * takes all that is out on it along; so for a while after one did, each call gets a connection to itself.
  */
-public final class ReaderPool implements Readers {
+public final class ReaderPool implements ReaderTransport {
 
     private static final long CAREFUL = 10_000_000;
 
     private final Bootstrap bootstrap;
     private final Coordinator coordinator;
-    private final Deadlines deadlines;
+    private final Timers timers;
     private final Map<String, ReaderEntry> entries = new HashMap<>();
     private final Map<String, List<ReaderConnection>> connections = new HashMap<>();
     private final IntSupplier most;
-    private final Census census;
+    private final ReaderConnectionLimits census;
     private long carefulUntil = Long.MIN_VALUE;
 
     /** census: the connections of the whole process. most: connections up to which calls may get one each. */
-    public ReaderPool(Bootstrap bootstrap, Coordinator coordinator, Deadlines deadlines, Census census,
+    public ReaderPool(Bootstrap bootstrap, Coordinator coordinator, Timers deadlines, ReaderConnectionLimits census,
             IntSupplier most) {
         this.census = census;
         this.most = most;
         this.bootstrap = bootstrap;
         this.coordinator = coordinator;
-        this.deadlines = deadlines;
+        this.timers = deadlines;
     }
 
     @Override
     public void send(Call call) {
-        ReaderConnection on = connection(call.send.reader(), c -> c.hasRoomFor(call), c -> c.couldQueue(call));
+        ReaderConnection on = connection(call.send.reader(), c -> c.hasRoomFor(call), c -> c.canQueue(call));
         if (on == null) {
-            coordinator.ended(call, Outcome.NO_CONNECTION, null, new double[0]);
+            coordinator.callEnded(call, Outcome.NO_CONNECTION, null, new double[0]);
             return;
         }
         on.send(call);
@@ -57,10 +57,10 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void cancel(Call call) {
         for (ReaderConnection c : List.copyOf(connections.getOrDefault(call.send.reader(), List.of()))) {
             if (c.carries(call)) {
-                c.giveUp(call);
+                c.cancel(call);
                 return;
             }
         }
@@ -80,7 +80,7 @@
     public void probe(String reader) {
         ReaderConnection on = connection(reader, ReaderConnection::hasRoom, c -> true);
         if (on == null) {
-            coordinator.probed(reader, Outcome.NO_CONNECTION, now(), new double[0]);
+            coordinator.probeEnded(reader, Outcome.NO_CONNECTION, now(), new double[0]);
             return;
         }
         on.probe();
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void listed(ReaderEntry entry) {
+    public void updateReader(ReaderEntry entry) {
         ReaderEntry was = entries.put(entry.id(), entry);
         if (was != null && (!was.host().equals(entry.host()) || was.port() != entry.port()
                 || was.startedAt() != entry.startedAt())) {
@@ -106,14 +106,14 @@
     }
 
     @Override
-    public void gone(String reader) {
+    public void removeReader(String reader) {
         retire(reader);
         entries.remove(reader);
     }
 
     /** Connections to a process that is no more may stay silent: nothing new may go on them. */
     private void retire(String reader) {
-        List.copyOf(connections.getOrDefault(reader, List.of())).forEach(ReaderConnection::retire);
+        List.copyOf(connections.getOrDefault(reader, List.of())).forEach(ReaderConnection::drain);
     }
 
     /**
@@ -130,8 +130,8 @@
         }
         ReaderEntry entry = entries.get(reader);
         if (entry != null && !census.mayOpen(reader, held.size())) {
-            ReaderConnection least = held.stream().filter(able).min(Comparator.comparingInt(ReaderConnection::load))
-                    .orElse(null);
+            ReaderConnection least = held.stream().filter(able)
+                    .min(Comparator.comparingInt(ReaderConnection::inFlightCalls)).orElse(null);
             if (least != null) {
                 return least;
             }
@@ -164,21 +164,21 @@
     }
 
     /** A connection broke with calls out on it. */
-    void broken() {
+    void connectionBroken() {
         carefulUntil = now() + CAREFUL;
     }
 
     /** How many calls a connection takes at present. */
-    int callsEach() {
-        return now() < carefulUntil && census.open() < most.getAsInt() ? 1 : site().multiplex();
+    int maxCallsPerConnection() {
+        return now() < carefulUntil && census.openCount() < most.getAsInt() ? 1 : site().multiplex();
     }
 
     Site site() {
         return coordinator.site();
     }
 
-    Deadlines deadlines() {
-        return deadlines;
+    Timers timers() {
+        return timers;
     }
 
     Counters counters() {
--- a/coordinator/src/main/java/burlford/settings/BadInput.java
+++ b/coordinator/src/main/java/burlford/settings/InputFormatException.java
@@ -1,11 +1,11 @@
 package burlford.settings;
 
 /** The input breaks the wire's format; the message says where. */
-public final class BadInput extends RuntimeException {
+public final class InputFormatException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    public BadInput(String message) {
+    public InputFormatException(String message) {
         super(message);
     }
 }
--- a/coordinator/src/main/java/burlford/settings/Settings.java
+++ b/coordinator/src/main/java/burlford/settings/SettingsParser.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /** Reads the settings text of the wire into the interface's types: names and units, nothing else. */
-public final class Settings {
+public final class SettingsParser {
 
     private final Map<String, String> values = new HashMap<>();
 
-    private Settings() { }
+    private SettingsParser() { }
 
     public static Aggregator.Settings parse(String text) {
-        Settings s = new Settings();
+        SettingsParser s = new SettingsParser();
         int row = 0;
         for (String line : text.split("\n", -1)) {
             row++;
@@ -23,7 +23,7 @@
             }
             int eq = line.indexOf('=');
             if (eq <= 0) {
-                throw new BadInput("settings line " + row + " is not path=value: " + line);
+                throw new InputFormatException("settings line " + row + " is not path=value: " + line);
             }
             s.values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
         }
@@ -58,7 +58,7 @@
                 flag("allowed.probing"), flag("allowed.retryAfter"), (long) number("allowed.maxRetryAfter", 0));
         Aggregator.Prices prices = new Aggregator.Prices(number("charges.crossZone", 0), number("charges.handshake", 0),
                 number("charges.probe", 0));
-        List<Aggregator.Field> fields = new ArrayList<>();
+        List<Aggregator.ReportField> fields = new ArrayList<>();
         for (String name : values.getOrDefault("feedback.columns", "").split(",")) {
             if (!name.isBlank()) {
                 fields.add(field(name.trim()));
@@ -73,15 +73,15 @@
                 flag("clientHabits.marksRetry"));
     }
 
-    private static Aggregator.Field field(String name) {
+    private static Aggregator.ReportField field(String name) {
         return switch (name) {
-            case "active" -> Aggregator.Field.QUEUE;
-            case "waiting" -> Aggregator.Field.WAITING;
-            case "cpu" -> Aggregator.Field.BUSY;
-            case "avg_ms" -> Aggregator.Field.SERVICE_MS;
-            case "rps" -> Aggregator.Field.RATE;
-            case "err_rps" -> Aggregator.Field.ERROR_RATE;
-            default -> Aggregator.Field.OTHER;
+            case "active" -> Aggregator.ReportField.QUEUE;
+            case "waiting" -> Aggregator.ReportField.WAITING;
+            case "cpu" -> Aggregator.ReportField.BUSY;
+            case "avg_ms" -> Aggregator.ReportField.SERVICE_MS;
+            case "rps" -> Aggregator.ReportField.RATE;
+            case "err_rps" -> Aggregator.ReportField.ERROR_RATE;
+            default -> Aggregator.ReportField.OTHER;
         };
     }
 
@@ -91,14 +91,14 @@
             case "retryable" -> Aggregator.Effect.SAFE;
             case "dedup" -> Aggregator.Effect.KEYED;
             case "fragile" -> Aggregator.Effect.UNSAFE;
-            default -> throw new BadInput("setting " + path + " has the unknown value " + v);
+            default -> throw new InputFormatException("setting " + path + " has the unknown value " + v);
         };
     }
 
     private String text(String path) {
         String v = values.get(path);
         if (v == null) {
-            throw new BadInput("setting " + path + " is missing");
+            throw new InputFormatException("setting " + path + " is missing");
         }
         return v;
     }
@@ -134,6 +134,6 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new BadInput("setting " + path + " is not a number: " + v);
+        throw new InputFormatException("setting " + path + " is not a number: " + v);
     }
 }
--- a/coordinator/src/main/java/burlford/store/LogFile.java
+++ b/coordinator/src/main/java/burlford/store/LogFile.java
@@ -99,7 +99,7 @@
 
     private void apply(byte[] record) throws IOException {
         if (record[0] == '{') {
-            RaftModel model = Codec.decode(record);
+            RaftModel model = RaftCodec.decode(record);
             if (model instanceof LogEntry e) {
                 entries.put(e.getIndex(), e);
             } else if (model instanceof SnapshotChunk c) {
@@ -125,7 +125,7 @@
     }
 
     /** Null for a member that has never run. */
-    RestoredRaftState restored() {
+    RestoredRaftState restoredState() {
         if (endpoint == null || members == null) {
             return null;
         }
@@ -178,32 +178,32 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        append(Codec.encode(state));
+        append(RaftCodec.encode(state));
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
-        append(Codec.encode(view));
+        append(RaftCodec.encode(view));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        append(Codec.encode(state));
+        append(RaftCodec.encode(state));
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> list) throws IOException {
         for (LogEntry e : list) {
-            append(Codec.encode(e));
+            append(RaftCodec.encode(e));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        append(Codec.encode(chunk));
+        append(RaftCodec.encode(chunk));
     }
 
     @Override
@@ -255,7 +255,7 @@
         chunks.values().forEach(c -> kept.addAll(c.values()));
         kept.addAll(entries.values());
         for (RaftModel model : kept) {
-            append(Codec.encode(model));
+            append(RaftCodec.encode(model));
         }
         flush();
     }
--- a/coordinator/src/main/java/burlford/store/Peers.java
+++ b/coordinator/src/main/java/burlford/store/MemberTransport.java
@@ -1,9 +1,9 @@
 package burlford.store;
 
+import burlford.net.Connector;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.message.RaftMessage;
 import io.microraft.transport.Transport;
-import burlford.net.Connector;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -33,9 +33,10 @@
  * Messages between the members: a length and JSON, over one connection each way. What cannot be delivered is
  * dropped, as the consensus expects; the next message opens the connection again.
  */
-final class Peers implements Transport {
+final class MemberTransport implements Transport {
 
-    private static final Logger LOG = Logger.getLogger(Peers.class.getName());
+    // Name kept for existing logging configurations.
+    private static final Logger LOG = Logger.getLogger("burlford.store.Peers");
     private static final int LONGEST = 1 << 26;
 
     private final EventLoop loop;
@@ -48,7 +49,7 @@
     private Channel listener;
     private boolean closed;
 
-    Peers(EventLoop loop, Bootstrap bootstrap, Map<String, InetSocketAddress> addresses) {
+    MemberTransport(EventLoop loop, Bootstrap bootstrap, Map<String, InetSocketAddress> addresses) {
         this.loop = loop;
         this.bootstrap = bootstrap;
         this.addresses = addresses;
@@ -73,7 +74,7 @@
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) throws IOException {
                 byte[] bytes = new byte[in.readableBytes()];
                 in.readBytes(bytes);
-                if (Codec.decode(bytes) instanceof RaftMessage m && addresses.containsKey(m.getSender().getId())) {
+                if (RaftCodec.decode(bytes) instanceof RaftMessage m && addresses.containsKey(m.getSender().getId())) {
                     receiver.accept(m);
                 } else {
                     throw new IOException("not from a member");
@@ -104,7 +105,7 @@
         // What comes while the connection opens is dropped: the sender says it again.
         if (c != null && c.isActive()) {
             try {
-                c.writeAndFlush(Unpooled.wrappedBuffer(Codec.encode(message)));
+                c.writeAndFlush(Unpooled.wrappedBuffer(RaftCodec.encode(message)));
             } catch (IOException e) {
                 LOG.log(Level.SEVERE, "store: cannot write " + message, e);
             }
--- a/coordinator/src/main/java/burlford/store/MemoryStore.java
+++ b/coordinator/src/main/java/burlford/store/MemoryStore.java
@@ -18,8 +18,8 @@
     }
 
     @Override
-    public void put(String key, long from, String value, Consumer<Written> done) {
-        Written written = state.apply(VersionedMap.write(key, from, value)).written();
+    public void put(String key, long from, String value, Consumer<WriteResult> done) {
+        WriteResult written = state.apply(VersionedMap.encodeWrite(key, from, value)).writeResult();
         if (written.outcome() == Outcome.STORED) {
             watchers.forEach(w -> w.accept(key, get(key)));
         }
--- a/coordinator/src/main/java/burlford/store/Codec.java
+++ b/coordinator/src/main/java/burlford/store/RaftCodec.java
@@ -33,7 +33,7 @@
  * The consensus library's messages and records as JSON. Each has a builder whose setters mirror its getters,
  * so one walk over the setters writes and reads them all. Operations are text.
  */
-final class Codec {
+final class RaftCodec {
 
     private static final List<Class<? extends RaftModel>> TYPES = List.of(AppendEntriesRequest.class,
             AppendEntriesSuccessResponse.class, AppendEntriesFailureResponse.class, PreVoteRequest.class,
@@ -43,7 +43,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final DefaultRaftModelFactory FACTORY = new DefaultRaftModelFactory();
 
-    private Codec() { }
+    private RaftCodec() { }
 
     static byte[] encode(RaftModel model) throws IOException {
         return JSON.writeValueAsBytes(write(model));
--- a/coordinator/src/main/java/burlford/store/ReplicatedStore.java
+++ b/coordinator/src/main/java/burlford/store/ReplicatedStore.java
@@ -1,6 +1,6 @@
 package burlford.store;
 
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.microraft.Ordered;
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
@@ -40,11 +40,11 @@
     private static final long PATIENCE = 10_000_000;
 
     private final EventLoop loop;
-    private final Deadlines deadlines;
+    private final Timers deadlines;
     private final LongSupplier clock;
     private final Member member;
     private final LogFile log;
-    private final Peers peers;
+    private final MemberTransport peers;
     private final RaftNode node;
     private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> new Thread(r, "store"));
     private final List<BiConsumer<String, Entry>> watchers = new ArrayList<>();
@@ -52,20 +52,21 @@
     private final Map<String, Entry> copy = new TreeMap<>();
     private boolean closed;
 
-    public ReplicatedStore(EventLoop loop, Bootstrap bootstrap, Deadlines deadlines, LongSupplier clock, String name,
+    public ReplicatedStore(EventLoop loop, Bootstrap bootstrap, Timers deadlines, LongSupplier clock, String name,
             Path directory, Map<String, InetSocketAddress> members) throws IOException {
         this.loop = loop;
         this.deadlines = deadlines;
         this.clock = clock;
         member = new Member(name);
         log = new LogFile(Files.createDirectories(directory).resolve(name + ".log"));
-        peers = new Peers(loop, bootstrap, members);
+        peers = new MemberTransport(loop, bootstrap, members);
         RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(3)
                 .setLeaderElectionTimeoutMillis(500).setCommitCountToTakeSnapshot(1000).build();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("burlford").setConfig(config)
-                .setTransport(peers).setStateMachine(new State()).setStore(log).setExecutor(new OnThread());
-        if (log.restored() != null) {
-            builder.setRestoredState(log.restored());
+                .setTransport(peers).setStateMachine(new StoreStateMachine()).setStore(log)
+                .setExecutor(new StoreThreadExecutor());
+        if (log.restoredState() != null) {
+            builder.setRestoredState(log.restoredState());
         } else {
             builder.setLocalEndpoint(member).setInitialGroupMembers(
                     members.keySet().stream().map(m -> (RaftEndpoint) new Member(m)).toList());
@@ -81,25 +82,25 @@
     }
 
     @Override
-    public void put(String key, long from, String value, Consumer<Written> done) {
+    public void put(String key, long from, String value, Consumer<WriteResult> done) {
         boolean[] told = new boolean[1];
-        Consumer<Written> once = w -> {
+        Consumer<WriteResult> once = w -> {
             if (!told[0]) {
                 told[0] = true;
                 done.accept(w);
             }
         };
-        Deadlines.Deadline patience = deadlines.at(clock.getAsLong() + PATIENCE, () -> once.accept(
-                new Written(Outcome.REFUSED, 0, "no majority answers; the write may yet be made")));
-        node.<Written>replicate(VersionedMap.write(key, from, value)).whenComplete((ordered, failure) ->
+        Timers.Timer patience = deadlines.schedule(clock.getAsLong() + PATIENCE, () -> once.accept(
+                new WriteResult(Outcome.REFUSED, 0, "no majority answers; the write may yet be made")));
+        node.<WriteResult>replicate(VersionedMap.encodeWrite(key, from, value)).whenComplete((ordered, failure) ->
                 loop.execute(() -> {
                     deadlines.cancel(patience);
-                    once.accept(failure == null ? result(ordered) : new Written(Outcome.REFUSED, 0,
+                    once.accept(failure == null ? result(ordered) : new WriteResult(Outcome.REFUSED, 0,
                             failure.getClass().getSimpleName() + "; leader: " + leader()));
                 }));
     }
 
-    private static Written result(Ordered<Written> ordered) {
+    private static WriteResult result(Ordered<WriteResult> ordered) {
         return ordered.getResult();
     }
 
@@ -149,7 +150,7 @@
     }
 
     /** The replicated state; on the store's thread. */
-    private final class State implements StateMachine {
+    private final class StoreStateMachine implements StateMachine {
         private final VersionedMap map = new VersionedMap();
 
         @Override
@@ -157,12 +158,12 @@
             if (NEW_TERM.equals(operation)) {
                 return null;
             }
-            VersionedMap.Applied applied = map.apply((String) operation);
-            if (applied.written().outcome() == Outcome.STORED) {
+            VersionedMap.ApplyResult applied = map.apply((String) operation);
+            if (applied.writeResult().outcome() == Outcome.STORED) {
                 Map<String, Entry> one = Map.of(applied.key(), map.entries().get(applied.key()));
                 loop.execute(() -> committed(one));
             }
-            return applied.written();
+            return applied.writeResult();
         }
 
         @Override
@@ -183,7 +184,7 @@
         }
     }
 
-    private final class OnThread implements RaftNodeExecutor {
+    private final class StoreThreadExecutor implements RaftNodeExecutor {
 
         @Override
         public void execute(Runnable task) {
@@ -201,7 +202,7 @@
         public void schedule(Runnable task, long delay, TimeUnit unit) {
             loop.execute(() -> {
                 if (!closed) {
-                    deadlines.at(clock.getAsLong() + unit.toMicros(delay), () -> execute(task));
+                    deadlines.schedule(clock.getAsLong() + unit.toMicros(delay), () -> execute(task));
                 }
             });
         }
--- a/coordinator/src/main/java/burlford/store/Store.java
+++ b/coordinator/src/main/java/burlford/store/Store.java
@@ -16,14 +16,14 @@
     enum Outcome { STORED, STALE, REFUSED }
 
     /** version: of the key now; detail: why it was refused. */
-    record Written(Outcome outcome, long version, String detail) { }
+    record WriteResult(Outcome outcome, long version, String detail) { }
 
     /** Null where the key is not there. */
     default Entry get(String key) {
         return entries().get(key);
     }
 
-    void put(String key, long from, String value, Consumer<Written> done);
+    void put(String key, long from, String value, Consumer<WriteResult> done);
 
     /** Whom to write to; null while nobody leads. */
     String leader();
--- a/coordinator/src/main/java/burlford/store/StoreFront.java
+++ b/coordinator/src/main/java/burlford/store/StoreFront.java
@@ -22,8 +22,8 @@
 public final class StoreFront implements HttpConnection.Front {
 
     /** Says why a value may not stand under a key, or null where it may. */
-    public interface Check {
-        String fault(String key, String value);
+    public interface ValueValidator {
+        String rejectionReason(String key, String value);
     }
 
     private static final String PREFIX = "/store/";
@@ -32,11 +32,11 @@
     private final Store store;
     private final Map<String, InetSocketAddress> doors;
     private final Counters counters;
-    private final Check check;
+    private final ValueValidator check;
     private final ObjectMapper json = new ObjectMapper();
 
     /** doors: where each member listens to operators. */
-    public StoreFront(Store store, Map<String, InetSocketAddress> doors, Counters counters, Check check) {
+    public StoreFront(Store store, Map<String, InetSocketAddress> doors, Counters counters, ValueValidator check) {
         this.store = store;
         this.doors = doors;
         this.counters = counters;
@@ -82,7 +82,7 @@
             return;
         }
         String value = new String(e.body, StandardCharsets.UTF_8);
-        String fault = check.fault(key, value);
+        String fault = check.rejectionReason(key, value);
         if (fault != null) {
             reject(e, HttpResponseStatus.BAD_REQUEST, fault);
             return;
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public void crowded(Exchange e, String why) {
+    public void refuseOverloaded(Exchange e, String why) {
         reject(e, HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
     }
 
--- a/coordinator/src/main/java/burlford/store/VersionedMap.java
+++ b/coordinator/src/main/java/burlford/store/VersionedMap.java
@@ -2,7 +2,7 @@
 
 import burlford.store.Store.Entry;
 import burlford.store.Store.Outcome;
-import burlford.store.Store.Written;
+import burlford.store.Store.WriteResult;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -16,22 +16,22 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Map<String, Entry> entries = new TreeMap<>();
 
-    static String write(String key, long from, String value) {
+    static String encodeWrite(String key, long from, String value) {
         return JSON.createObjectNode().put("key", key).put("from", from).put("value", value).toString();
     }
 
-    record Applied(String key, Written written) { }
+    record ApplyResult(String key, WriteResult writeResult) { }
 
-    Applied apply(String write) {
+    ApplyResult apply(String write) {
         JsonNode w = tree(write);
         String key = w.get("key").textValue();
         Entry was = entries.get(key);
         long version = was == null ? 0 : was.version();
         if (w.get("from").longValue() != version) {
-            return new Applied(key, new Written(Outcome.STALE, version, "the key is at version " + version));
+            return new ApplyResult(key, new WriteResult(Outcome.STALE, version, "the key is at version " + version));
         }
         entries.put(key, new Entry(version + 1, w.get("value").textValue()));
-        return new Applied(key, new Written(Outcome.STORED, version + 1, ""));
+        return new ApplyResult(key, new WriteResult(Outcome.STORED, version + 1, ""));
     }
 
     Map<String, Entry> entries() {
--- a/coordinator/src/test/java/burlford/KnownRed.java
+++ b/coordinator/src/test/java/burlford/KnownRed.java
@@ -22,7 +22,7 @@
     private static final ConditionEvaluationResult RUN = ConditionEvaluationResult.enabled("not a known failure");
 
     /** Whether a run passes over this test. An entry begins with the test's name, up to the first {@code " | "}. */
-    public static boolean passesOver(String test) {
+    public static boolean shouldSkip(String test) {
         boolean listed = NAMES.contains(test) && !"run".equals(System.getProperty("knownRed"));
         if (listed) {
             System.out.println("known red, not run: " + test);
@@ -34,7 +34,7 @@
     public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
         return context.getTestMethod()
                 .map(m -> m.getDeclaringClass().getSimpleName() + "#" + m.getName())
-                .filter(KnownRed::passesOver)
+                .filter(KnownRed::shouldSkip)
                 .map(name -> ConditionEvaluationResult.disabled("listed in KNOWN-RED.txt"))
                 .orElse(RUN);
     }
--- a/coordinator/src/test/java/burlford/adapter/WireTest.java
+++ b/coordinator/src/test/java/burlford/adapter/SimulatorCodecTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import burlford.policy.Aggregator;
-import burlford.settings.BadInput;
-import burlford.settings.Settings;
+import burlford.settings.InputFormatException;
+import burlford.settings.SettingsParser;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The codec byte by byte, and what it says of malformed input. */
-class WireTest {
+class SimulatorCodecTest {
 
     private static byte[] hex(String... parts) {
         return HexFormat.of().parseHex(String.join("", parts).replace(" ", ""));
@@ -34,57 +34,60 @@
                 .putLong(7_000_000).putInt(records).putInt(3).put(body).array();
     }
 
-    private static Wire.Batch read(int records, byte[] body) throws IOException {
-        return new Wire().read(new ByteArrayInputStream(frame(records, body)));
+    private static SimulatorCodec.Batch read(int records, byte[] body) throws IOException {
+        return new SimulatorCodec().read(new ByteArrayInputStream(frame(records, body)));
     }
 
     private static String bad(byte[] input) {
-        return assertThrows(BadInput.class, () -> new Wire().read(new ByteArrayInputStream(input))).getMessage();
+        return assertThrows(InputFormatException.class, () -> new SimulatorCodec()
+                .read(new ByteArrayInputStream(input))).getMessage();
     }
 
     private static final String ABOUT = "0b0200" + zeros(37);
 
     @Test
     void readsAQueryItsPartAndAnOutcome() throws IOException {
-        Wire.Batch b = read(4, hex(ABOUT,
+        SimulatorCodec.Batch b = read(4, hex(ABOUT,
                 "02 05000000 00004040 40420f00 01 00000000 02 000080bf 00001041 0900000000000000 0300", zeros(3),
                 "02 06000000 0000003f 40420f00 01 10270000 01 00000040 00001041 0800000000000000 0300", zeros(3),
                 "04 06000000 01 010203049005 6f00 10270000 01 01 0000a040", zeros(12), zeros(4)));
         assertEquals(7_000_000, b.clock());
         assertEquals(3, b.number());
-        assertEquals(new Aggregator.QueryIn(5, 9, 1, 3, 1_000_000, 0, true, 9, 3),
-                ((Wire.Happened) b.items().get(0)).event());
-        assertEquals(new Aggregator.PartIn(6, 9, 2, 0.5, 10_000, 8), ((Wire.Happened) b.items().get(1)).event());
-        Aggregator.AttemptEnd end = (Aggregator.AttemptEnd) ((Wire.Happened) b.items().get(2)).event();
+        assertEquals(new Aggregator.QueryArrived(5, 9, 1, 3, 1_000_000, 0, true, 9, 3),
+                ((SimulatorCodec.InstanceEvent) b.records().get(0)).event());
+        assertEquals(new Aggregator.PartArrived(6, 9, 2, 0.5, 10_000, 8), ((SimulatorCodec.InstanceEvent) b.records()
+                .get(1)).event());
+        Aggregator.AttemptEnded end = (Aggregator.AttemptEnded) ((SimulatorCodec.InstanceEvent) b.records().get(2))
+                .event();
         assertEquals(Aggregator.Outcome.NO_CONNECTION, end.outcome());
         assertEquals(0x0590_0403_0201L, end.replica());
         assertEquals(1, end.attempt());
-        assertArrayEquals(new double[] {5}, end.report());
+        assertArrayEquals(new double[] {5}, end.loadReport());
     }
 
     @Test
     void readsTheListThroughItsTable() throws IOException {
-        Wire.Batch b = read(3, hex(ABOUT, "0a 02000000 00000000 01000000", zeros(27),
+        SimulatorCodec.Batch b = read(3, hex(ABOUT, "0a 02000000 00000000 01000000", zeros(27),
                 "01 05000000 02000000 01", zeros(30), "010203049005 01 0000 0400 02 0000803f 40420f0000000000"));
-        Aggregator.Replicas r = (Aggregator.Replicas) ((Wire.Happened) b.items().get(0)).event();
+        Aggregator.ListUpdate r = (Aggregator.ListUpdate) ((SimulatorCodec.InstanceEvent) b.records().get(0)).event();
         assertEquals(Aggregator.ListKind.WHOLE, r.kind());
-        assertEquals(new Aggregator.Listed(0x0590_0403_0201L, 1, 4, Aggregator.Status.DRAINING, 1, 1_000_000),
+        assertEquals(new Aggregator.ListEntry(0x0590_0403_0201L, 1, 4, Aggregator.Status.DRAINING, 1, 1_000_000),
                 r.entries().get(0));
     }
 
     @Test
     void writesEveryAction() throws IOException {
-        Wire.Reply reply = new Wire.Reply();
-        reply.speaking(3);
-        reply.action(new Aggregator.Send(5, 0x0590_0403_0201L, 80_000));
-        reply.action(new Aggregator.Refuse(5, 250_000, Aggregator.Reason.EXPECTED_LATE));
-        reply.action(new Aggregator.Fail(5, Aggregator.Reason.TIME_OVER));
-        reply.action(new Aggregator.Cancel(5, 2));
-        reply.action(new Aggregator.SetAlarm(77, 108_320));
-        reply.action(new Aggregator.Probe(0x0590_0403_0201L));
-        reply.action(new Aggregator.WatchList());
-        reply.action(new Aggregator.Answer(5, true));
-        reply.die("no");
+        SimulatorCodec.Reply reply = new SimulatorCodec.Reply();
+        reply.addInstance(3);
+        reply.addAction(new Aggregator.Send(5, 0x0590_0403_0201L, 80_000));
+        reply.addAction(new Aggregator.Refuse(5, 250_000, Aggregator.Reason.EXPECTED_LATE));
+        reply.addAction(new Aggregator.Fail(5, Aggregator.Reason.TIME_OVER));
+        reply.addAction(new Aggregator.Cancel(5, 2));
+        reply.addAction(new Aggregator.SetAlarm(77, 108_320));
+        reply.addAction(new Aggregator.Probe(0x0590_0403_0201L));
+        reply.addAction(new Aggregator.WatchList());
+        reply.addAction(new Aggregator.Answer(5, true));
+        reply.addFailure("no");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.write(out, 12);
         assertEquals(HexFormat.of().formatHex(hex("a2000000 0a000000 0c000000",
@@ -96,7 +99,7 @@
 
     @Test
     void endOfInputIsNoBatch() throws IOException {
-        assertNull(new Wire().read(new ByteArrayInputStream(new byte[0])));
+        assertNull(new SimulatorCodec().read(new ByteArrayInputStream(new byte[0])));
     }
 
     @Test
@@ -121,14 +124,16 @@
 
     @Test
     void settingsSkipUnknownKeysAndNameMissingOnes() {
-        Aggregator.Settings s = Settings.parse(SETTINGS);
+        Aggregator.Settings s = SettingsParser.parse(SETTINGS);
         assertEquals(Aggregator.Effect.UNSAFE, s.classes().get(0).effect());
-        assertEquals(java.util.List.of(Aggregator.Field.QUEUE, Aggregator.Field.OTHER), s.reportFields());
-        assertTrue(assertThrows(BadInput.class, () -> Settings.parse(SETTINGS.replace("familyInfo.reach=2\n", "")))
+        assertEquals(java.util.List.of(Aggregator.ReportField.QUEUE, Aggregator.ReportField.OTHER), s.reportFields());
+        assertTrue(assertThrows(InputFormatException.class,
+                () -> SettingsParser.parse(SETTINGS.replace("familyInfo.reach=2\n", "")))
                 .getMessage().contains("familyInfo.reach is missing"));
-        assertTrue(assertThrows(BadInput.class, () -> Settings.parse(SETTINGS + "\noops")).getMessage().contains("oops"));
-        assertTrue(assertThrows(BadInput.class, () -> Settings.parse(SETTINGS.replace("points=3", "points=three")))
-                .getMessage().contains("not a number"));
+        assertTrue(assertThrows(InputFormatException.class, () -> SettingsParser.parse(SETTINGS + "\noops"))
+                .getMessage().contains("oops"));
+        assertTrue(assertThrows(InputFormatException.class, () -> SettingsParser.parse(SETTINGS.replace("points=3",
+                "points=three"))).getMessage().contains("not a number"));
     }
 
     @Test
@@ -138,9 +143,9 @@
         body.put(hex(ABOUT)).put((byte) 0).putLong(1).putInt(0).putInt(text.length).position(80);
         body.put(text);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimHost().run(new ByteArrayInputStream(frame(2, body.array())), out);
+        new SimulatorHost().run(new ByteArrayInputStream(frame(2, body.array())), out);
         assertEquals(3, out.toByteArray()[8]);
-        assertThrows(BadInput.class, () -> new SimHost().run(new ByteArrayInputStream(
+        assertThrows(InputFormatException.class, () -> new SimulatorHost().run(new ByteArrayInputStream(
                 frame(2, hex(ABOUT, "06", zeros(39)))), new ByteArrayOutputStream()));
     }
 }
--- a/coordinator/src/test/java/burlford/clients/BodyBudgetTest.java
+++ b/coordinator/src/test/java/burlford/clients/BodyBudgetTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlford.core.ClientLimits;
 import burlford.core.Counters;
-import burlford.core.Crowd;
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -19,8 +19,8 @@
 class BodyBudgetTest {
 
     private static final int LENGTH = 65_000;
-    private final Connections connections = new Connections(4096, Crowd.alone(8 << 20), new Counters(),
-            new Deadlines(), () -> 0);
+    private final Connections connections = new Connections(4096, ClientLimits.singleLane(8 << 20), new Counters(),
+            new Timers(), () -> 0);
 
     private final HttpConnection.Front front = new HttpConnection.Front() {
         @Override
@@ -34,13 +34,14 @@
         }
 
         @Override
-        public void crowded(Exchange e, String why) {
+        public void refuseOverloaded(Exchange e, String why) {
             reject(e, HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
         }
     };
 
     private EmbeddedChannel client(int bytes) {
-        EmbeddedChannel c = new EmbeddedChannel(HttpConnection.handlers(front, () -> 0, () -> false, connections));
+        EmbeddedChannel c = new EmbeddedChannel(HttpConnection.createHandlers(front, () -> 0, () -> false,
+                connections));
         c.writeInbound(Unpooled.copiedBuffer("POST /api/a HTTP/1.1\r\nContent-Length: " + LENGTH + "\r\n\r\n"
                 + "x".repeat(bytes), StandardCharsets.US_ASCII));
         return c;
@@ -73,6 +74,6 @@
             assertThat(reply(next)).endsWith("served " + LENGTH);
             next.close();
         }
-        assertThat(connections.hold(8 << 20)).isTrue();
+        assertThat(connections.tryReserve(8 << 20)).isTrue();
     }
 }
--- a/coordinator/src/test/java/burlford/clients/ClientEndTest.java
+++ b/coordinator/src/test/java/burlford/clients/ClientDisconnectTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlford.core.ClientLimits;
 import burlford.core.Counters;
-import burlford.core.Crowd;
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When the end of a client's connection is seen, on a real socket. */
-class ClientEndTest {
+class ClientDisconnectTest {
 
     private static final byte[] REQUEST = "POST /api/a HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
             .getBytes(StandardCharsets.US_ASCII);
@@ -31,9 +31,9 @@
     private static final long IDLE_US = 5_000_000;
 
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Deadlines deadlines = new Deadlines();
-    private final Connections connections = new Connections(100, Crowd.alone(1 << 20), new Counters(), deadlines,
-            this::now);
+    private final Timers deadlines = new Timers();
+    private final Connections connections = new Connections(100, ClientLimits.singleLane(1 << 20), new Counters(),
+            deadlines, this::now);
     /** Microseconds that the clock is ahead of the system's. */
     private long skew;
     private Exchange taken;
@@ -44,7 +44,7 @@
         @Override
         public void serve(Exchange e) {
             taken = e;
-            e.onLeft(() -> left = true);
+            e.onClientDisconnect(() -> left = true);
         }
 
         @Override
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public void crowded(Exchange e, String why) { }
+        public void refuseOverloaded(Exchange e, String why) { }
     };
 
     private Socket connect() throws Exception {
@@ -61,8 +61,8 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
-                        c.pipeline().addLast(HttpConnection.handlers(front, ClientEndTest.this::now, () -> false,
-                                connections));
+                        c.pipeline().addLast(HttpConnection.createHandlers(front, ClientDisconnectTest.this::now,
+                                () -> false, connections));
                     }
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).channel();
         while (!listener.isActive()) {
@@ -89,13 +89,13 @@
         try (Socket client = connect()) {
             client.getOutputStream().write(REQUEST);
             turnUntilTaken();
-            assertThat(taken.clientIsConnected()).isTrue();
+            assertThat(taken.isClientConnected()).isTrue();
             client.close();
             long limit = System.nanoTime() + PATIENCE_NS;
-            while (taken.clientIsConnected() && System.nanoTime() < limit) {
+            while (taken.isClientConnected() && System.nanoTime() < limit) {
                 Thread.sleep(1);
             }
-            assertThat(taken.clientIsConnected()).isFalse();
+            assertThat(taken.isClientConnected()).isFalse();
         }
     }
 
@@ -120,7 +120,7 @@
             client.getOutputStream().write(REQUEST, REQUEST.length / 2, REQUEST.length - REQUEST.length / 2);
             Thread.sleep(READ_MS);
             skew += SLOW_REQUEST_US;
-            deadlines.sweep(now());
+            deadlines.runDue(now());
             assertThat(rejected).isNull();
             assertThat(taken).isNotNull();
         }
@@ -137,9 +137,9 @@
             client.getOutputStream().write(REQUEST);
             Thread.sleep(READ_MS);
             skew += IDLE_US;
-            deadlines.sweep(now());
+            deadlines.runDue(now());
             assertThat(taken).isNotNull();
-            assertThat(taken.clientIsConnected()).isTrue();
+            assertThat(taken.isClientConnected()).isTrue();
         }
     }
 
@@ -150,9 +150,9 @@
             turnFor(READ_MS);
             client.getOutputStream().write(REQUEST);
             Thread.sleep(READ_MS);
-            connections.makeRoom();
+            connections.evictIdleConnection();
             assertThat(taken).isNotNull();
-            assertThat(taken.clientIsConnected()).isTrue();
+            assertThat(taken.isClientConnected()).isTrue();
         }
     }
 
--- a/coordinator/src/test/java/burlford/clients/HttpConnectionTest.java
+++ b/coordinator/src/test/java/burlford/clients/HttpConnectionTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlford.core.ClientLimits;
 import burlford.core.Counters;
-import burlford.core.Crowd;
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -24,7 +24,7 @@
     private static final int FEW_DESCRIPTORS = 2;
     private static final int MANY_DESCRIPTORS = 1024;
 
-    private final Deadlines deadlines = new Deadlines();
+    private final Timers deadlines = new Timers();
     private final Counters counters = new Counters();
     private long now;
 
@@ -43,17 +43,17 @@
         }
 
         @Override
-        public void crowded(Exchange e, String why) {
+        public void refuseOverloaded(Exchange e, String why) {
             reject(e, HttpResponseStatus.SERVICE_UNAVAILABLE, why);
         }
     };
 
     private Connections connections(int descriptors) {
-        return new Connections(descriptors, Crowd.alone(1 << 20), counters, deadlines, () -> now);
+        return new Connections(descriptors, ClientLimits.singleLane(1 << 20), counters, deadlines, () -> now);
     }
 
     private EmbeddedChannel client(Connections connections) {
-        return new EmbeddedChannel(HttpConnection.handlers(front, () -> now, () -> false, connections));
+        return new EmbeddedChannel(HttpConnection.createHandlers(front, () -> now, () -> false, connections));
     }
 
     private static void send(EmbeddedChannel client, String text) {
@@ -89,7 +89,7 @@
         send(client, REQUEST + REQUEST.substring(0, HALF));
         assertThat(reply(client)).startsWith("HTTP/1.1 200 ");
         now += OWED_TO_BAD_CLIENTS;
-        deadlines.sweep(now);
+        deadlines.runDue(now);
         assertThat(reply(client)).startsWith("HTTP/1.1 408 ");
     }
 
@@ -111,7 +111,7 @@
             send(client, REQUEST);
             assertThat(reply(client)).startsWith("HTTP/1.1 200 ");
             now += OWED_TO_BAD_CLIENTS;
-            deadlines.sweep(now);
+            deadlines.runDue(now);
         }
         assertThat(client.isOpen()).isTrue();
     }
--- a/coordinator/src/test/java/burlford/core/EventLogTest.java
+++ b/coordinator/src/test/java/burlford/core/EventLogTest.java
@@ -32,10 +32,10 @@
             public void close() { }
         });
         EventLog events = new EventLog(EventLogTest.class, () -> now);
-        for (int i = 0; i < EventLog.MOST_PER_SECOND + 3; i++) {
+        for (int i = 0; i < EventLog.MAX_EVENTS_PER_SECOND + 3; i++) {
             events.log("query", i);
         }
-        assertThat(lines).hasSize(EventLog.MOST_PER_SECOND).startsWith("query 0");
+        assertThat(lines).hasSize(EventLog.MAX_EVENTS_PER_SECOND).startsWith("query 0");
         now += 1_000_000;
         events.log("query", "next");
         assertThat(lines).endsWith("3 further events were not logged", "query next");
--- a/coordinator/src/test/java/burlford/daemon/HeldResolver.java
+++ b/coordinator/src/test/java/burlford/daemon/DelayedResolver.java
@@ -10,19 +10,19 @@
 import java.util.List;
 
 /** Holds back connections until a test lets them come up, as a network would that is slow. */
-final class HeldResolver extends AddressResolverGroup<InetSocketAddress> {
+final class DelayedResolver extends AddressResolverGroup<InetSocketAddress> {
 
     private final List<Runnable> held = new ArrayList<>();
     private boolean open;
 
     /** From now on connections come up, those held so far first. */
-    void letThrough() {
+    void release() {
         open = true;
         List.copyOf(held).forEach(Runnable::run);
         held.clear();
     }
 
-    int held() {
+    int heldCount() {
         return held.size();
     }
 
--- a/coordinator/src/test/java/burlford/daemon/TurnsTest.java
+++ b/coordinator/src/test/java/burlford/daemon/EventLoopDriverTest.java
@@ -14,30 +14,30 @@
 import org.junit.jupiter.api.Test;
 
 /** A loop that was busy for long reads what has lain unread: its clients' time ran meanwhile. */
-class TurnsTest {
+class EventLoopDriverTest {
 
     private static final long BUSY = 600_000;
     private long now = 5_000_000;
 
     @Test
     void requestsReadBehindALongTurnCountFromWhenThatTurnLooked() throws Exception {
-        Turns turns = new Turns(Thread.currentThread(), () -> now);
+        EventLoopDriver turns = new EventLoopDriver(Thread.currentThread(), () -> now);
         turns.loop.execute(() -> {
-            assertThat(turns.unreadSince()).isEqualTo(now);
+            assertThat(turns.earliestArrivalAt()).isEqualTo(now);
             now += BUSY;
         });
-        turns.turn();
+        turns.runIteration();
         long[] since = new long[2];
         turns.loop.execute(() -> {
-            since[0] = turns.unreadSince();
+            since[0] = turns.earliestArrivalAt();
             now += 1_000;
-            since[1] = turns.unreadSince();
+            since[1] = turns.earliestArrivalAt();
         });
-        turns.turn();
+        turns.runIteration();
         assertThat(since).containsExactly(5_000_000, 5_000_000);
         // A turn that was short again.
-        turns.loop.execute(() -> since[0] = turns.unreadSince());
-        turns.turn();
+        turns.loop.execute(() -> since[0] = turns.earliestArrivalAt());
+        turns.runIteration();
         assertThat(since[0]).isEqualTo(now - 1_000);
         turns.loop.shutdownGracefully();
     }
@@ -45,12 +45,12 @@
     /** Guards against requests taken to be new that had lain unread through a turn that read from no client. */
     @Test
     void requestsReadBehindALongTurnThatReadNoneCountFromThatTurnToo() throws Exception {
-        Turns turns = new Turns(Thread.currentThread(), () -> now);
+        EventLoopDriver turns = new EventLoopDriver(Thread.currentThread(), () -> now);
         turns.loop.execute(() -> now += BUSY);
-        turns.turn();
+        turns.runIteration();
         long[] since = new long[1];
-        turns.loop.execute(() -> since[0] = turns.unreadSince());
-        turns.turn();
+        turns.loop.execute(() -> since[0] = turns.earliestArrivalAt());
+        turns.runIteration();
         assertThat(since[0]).isEqualTo(5_000_000);
         turns.loop.shutdownGracefully();
     }
@@ -58,17 +58,17 @@
     /** Guards against answers that lay unread through a long turn and were taken for slow ones of their readers. */
     @Test
     void whatIsReadBehindALongTurnStoodStillForThatTurn() throws Exception {
-        Turns turns = new Turns(Thread.currentThread(), () -> now);
+        EventLoopDriver turns = new EventLoopDriver(Thread.currentThread(), () -> now);
         long[] stood = new long[3];
         turns.loop.execute(() -> {
-            stood[0] = turns.stoodStill();
+            stood[0] = turns.stallUs();
             now += BUSY;
         });
-        turns.turn();
-        turns.loop.execute(() -> stood[1] = turns.stoodStill());
-        turns.turn();
-        turns.loop.execute(() -> stood[2] = turns.stoodStill());
-        turns.turn();
+        turns.runIteration();
+        turns.loop.execute(() -> stood[1] = turns.stallUs());
+        turns.runIteration();
+        turns.loop.execute(() -> stood[2] = turns.stallUs());
+        turns.runIteration();
         assertThat(stood).containsExactly(0, BUSY, 0);
         turns.loop.shutdownGracefully();
     }
@@ -76,7 +76,7 @@
     /** Guards against a start that was given up over one socket() that failed for a moment. */
     @Test
     void listenerIsBoundThoughTheFirstSocketsFail() throws Exception {
-        Turns turns = new Turns(Thread.currentThread(), () -> System.nanoTime() / 1000);
+        EventLoopDriver turns = new EventLoopDriver(Thread.currentThread(), () -> System.nanoTime() / 1000);
         AtomicInteger failures = new AtomicInteger(2);
         ServerBootstrap listener = new ServerBootstrap().group(turns.loop).channelFactory(() -> {
             if (failures.getAndDecrement() > 0) {
--- a/coordinator/src/test/java/burlford/daemon/HeldReader.java
+++ b/coordinator/src/test/java/burlford/daemon/FakeReader.java
@@ -16,20 +16,20 @@
  * A stand-in reader that answers a part at once, unless its query's text says "hold": then once released. Counts
  * parts that have two attempts out here or at another of the same audit.
  */
-final class HeldReader implements AutoCloseable {
+final class FakeReader implements AutoCloseable {
 
     /** Shared by readers: parts out, and copies seen. */
     static final class Audit {
         final Map<String, Integer> out = new ConcurrentHashMap<>();
         final Map<String, Integer> attempts = new ConcurrentHashMap<>();
-        final AtomicInteger copies = new AtomicInteger();
+        final AtomicInteger duplicateAttempts = new AtomicInteger();
     }
 
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final Audit audit;
     private final List<Runnable> held = new ArrayList<>();
 
-    HeldReader(Audit audit) throws IOException {
+    FakeReader(Audit audit) throws IOException {
         this.audit = audit;
         daemon(() -> {
             while (true) {
@@ -43,11 +43,11 @@
         return listener.getLocalPort();
     }
 
-    synchronized int held() {
+    synchronized int heldCount() {
         return held.size();
     }
 
-    void release() {
+    void releaseHeld() {
         List<Runnable> all;
         synchronized (this) {
             all = List.copyOf(held);
@@ -56,11 +56,11 @@
         all.forEach(Runnable::run);
     }
 
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Body body) {
+    private static void daemon(IoTask body) {
         Thread t = new Thread(() -> {
             try {
                 body.run();
@@ -87,7 +87,7 @@
                     String part = rest.split(" ")[0];
                     audit.attempts.merge(part, 1, Integer::sum);
                     if (audit.out.merge(part, 1, Integer::sum) > 1) {
-                        audit.copies.incrementAndGet();
+                        audit.duplicateAttempts.incrementAndGet();
                     }
                     Runnable answer = () -> {
                         audit.out.merge(part, -1, Integer::sum);
--- a/coordinator/src/test/java/burlford/daemon/LanesTest.java
+++ b/coordinator/src/test/java/burlford/daemon/MultiLaneGroupTest.java
@@ -35,17 +35,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Several lanes in this process before stand-in readers: ids, lists, settings and failures of a lane. */
-class LanesTest {
+class MultiLaneGroupTest {
 
     private static final long PATIENCE_S = 20;
     private static final int CELLS = 3;
 
-    private final HeldReader.Audit audit = new HeldReader.Audit();
-    private final List<HeldReader> readers = new ArrayList<>();
+    private final FakeReader.Audit audit = new FakeReader.Audit();
+    private final List<FakeReader> readers = new ArrayList<>();
     private final List<Client> clients = new ArrayList<>();
-    private Shared shared;
-    private Turns turns;
-    private Lanes lanes;
+    private DaemonContext shared;
+    private EventLoopDriver turns;
+    private MultiLaneGroup lanes;
     private Channel listener;
     private Thread control;
     private volatile boolean over;
@@ -56,32 +56,32 @@
         Path operator = Files.writeString(Files.createTempFile("operator", ".yaml"), "cores: 2\n");
         operator.toFile().deleteOnExit();
         CompletableFuture<Channel> bound = new CompletableFuture<>();
-        shared = new Shared(configuration, operator);
+        shared = new DaemonContext(configuration, operator);
         control = new Thread(() -> {
-            turns = new Turns(Thread.currentThread(), shared.clock);
-            lanes = new Lanes(turns, shared, shared.setup().operator().cores());
+            turns = new EventLoopDriver(Thread.currentThread(), shared.clock);
+            lanes = new MultiLaneGroup(turns, shared, shared.parsedConfiguration().operatorFile().cores());
             ServerBootstrap b = new ServerBootstrap().group(turns.loop).channel(NioServerSocketChannel.class);
-            lanes.accept(b, Door.PLATFORM);
+            lanes.configureListener(b, FrontType.PLATFORM);
             ChannelFuture f = b.bind(InetAddress.getLoopbackAddress(), 0);
             f.addListener(done -> bound.complete(f.channel()));
-            while (!over && !lanes.over()) {
-                turns.turn();
+            while (!over && !lanes.isDrained()) {
+                turns.runIteration();
             }
         });
         control.start();
         listener = bound.get(PATIENCE_S, TimeUnit.SECONDS);
         List<ReaderEntry> entries = new ArrayList<>();
         for (int cell = 0; cell < CELLS; cell++) {
-            HeldReader r = new HeldReader(audit);
+            FakeReader r = new FakeReader(audit);
             readers.add(r);
             entries.add(entry(cell, r.port(), Status.READY));
         }
         onControl(() -> {
-            lanes.listed(ListKind.WHOLE, entries);
+            lanes.updateReaders(ListKind.WHOLE, entries);
             return null;
         });
         long told = onControl(() -> lanes.generation());
-        await(() -> lanes.lane(0).share.taken() == told && lanes.lane(1).share.taken() == told);
+        await(() -> lanes.lane(0).share.appliedGeneration() == told && lanes.lane(1).share.appliedGeneration() == told);
     }
 
     private static ReaderEntry entry(int cell, int port, Status status) {
@@ -90,7 +90,7 @@
 
     static Configuration configuration(int maxOpen) throws Exception {
         ObjectNode root;
-        try (InputStream in = LanesTest.class.getResourceAsStream("/configuration.json")) {
+        try (InputStream in = MultiLaneGroupTest.class.getResourceAsStream("/configuration.json")) {
             root = (ObjectNode) new ObjectMapper().readTree(in);
         }
         ((ObjectNode) root.at("/settings/allowed")).put("maxOpen", maxOpen);
@@ -107,10 +107,10 @@
         over = true;
         turns.loop.execute(() -> { });
         control.join();
-        lanes.lane(0).mayEnd();
-        lanes.lane(1).mayEnd();
+        lanes.lane(0).stopWhenIdle();
+        lanes.lane(1).stopWhenIdle();
         listener.close();
-        for (HeldReader r : readers) {
+        for (FakeReader r : readers) {
             r.close();
         }
     }
@@ -155,8 +155,8 @@
         Client ask(String id, String text, int deadline) throws IOException {
             String body = "{\"parts\":[{\"id\":0},{\"id\":1}],\"expr\":\"" + text + "\"}";
             socket.getOutputStream().write(("POST /api/ HTTP/1.1\r\nReq-Id: " + id
-                    + "\r\nReq-Kind: car-lookup\r\nReq-Owner: duna-cab\r\nReq-Deadline-Ms: " + deadline + "\r\nContent-Length: "
-                    + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
+                    + "\r\nReq-Kind: car-lookup\r\nReq-Owner: duna-cab\r\nReq-Deadline-Ms: " + deadline
+                    + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
             return this;
         }
 
@@ -194,14 +194,14 @@
 
     private long serving() {
         try {
-            return onControl(() -> lanes.serving());
+            return onControl(() -> lanes.servingLaneCount());
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
     private void held(int count) throws InterruptedException {
-        await(() -> readers.stream().mapToInt(HeldReader::held).sum() == count);
+        await(() -> readers.stream().mapToInt(FakeReader::heldCount).sum() == count);
     }
 
     // ---- ids
@@ -230,7 +230,7 @@
         for (Thread t : threads) {
             t.join();
         }
-        assertThat(audit.copies.get()).isZero();
+        assertThat(audit.duplicateAttempts.get()).isZero();
         assertThat(ends.keySet()).isSubsetOf("200", "409");
         assertThat(ends.get("200") + ends.getOrDefault("409", 0)).isEqualTo(2 * tries);
         assertThat(ends.get("200")).isGreaterThanOrEqualTo(tries);
@@ -243,7 +243,7 @@
         both[0].ask("same", "hold");
         held(2);
         assertThat(both[1].ask("same", "ok").answer()).startsWith("409").contains("still open");
-        readers.forEach(HeldReader::release);
+        readers.forEach(FakeReader::releaseHeld);
         assertThat(both[0].answer()).startsWith("200");
         assertThat(both[1].ask("same", "ok").answer()).startsWith("200");
     }
@@ -251,8 +251,8 @@
     @Test
     void theRoomForOpenQueriesIsTheProcesss() throws Exception {
         onControl(() -> {
-            Shared.Setup setup = shared.read(configuration(9)); // three queries of two parts
-            shared.adopt(setup);
+            DaemonContext.ParsedConfiguration setup = shared.parse(configuration(9)); // three queries of two parts
+            shared.apply(setup);
             lanes.reconfigure(setup);
             return null;
         });
@@ -264,7 +264,7 @@
         held(6);
         assertThat(more[0].ask("m0", "ok").answer()).startsWith("503");
         assertThat(more[1].ask("m1", "ok").answer()).startsWith("503");
-        readers.forEach(HeldReader::release);
+        readers.forEach(FakeReader::releaseHeld);
         for (Client c : open) {
             assertThat(c.answer()).startsWith("200");
         }
@@ -277,7 +277,7 @@
 
     private CountDownLatch pause(int lane) {
         CountDownLatch end = new CountDownLatch(1);
-        lanes.lane(lane).turns.loop.execute(() -> {
+        lanes.lane(lane).loopDriver.loop.execute(() -> {
             while (end.getCount() > 0) {
                 try {
                     end.await();
@@ -296,11 +296,11 @@
         await(() -> serving() == 1);
         // The reader of shard 1 drains: no lane may send to it from when it is told.
         long told = onControl(() -> {
-            lanes.listed(ListKind.CHANGES, List.of(entry(1, readers.get(1).port(), Status.DRAINING)));
+            lanes.updateReaders(ListKind.CHANGES, List.of(entry(1, readers.get(1).port(), Status.DRAINING)));
             return lanes.generation();
         });
-        await(() -> lanes.lane(1).share.taken() == told);
-        assertThat(lanes.lane(0).share.taken()).isLessThan(told);
+        await(() -> lanes.lane(1).share.appliedGeneration() == told);
+        assertThat(lanes.lane(0).share.appliedGeneration()).isLessThan(told);
         // Both connections ask: one of them lies unread at the lane that stands still.
         both[0].ask("a", "first", 500);
         both[1].ask("b", "first", 500);
@@ -323,14 +323,14 @@
         Configuration tight = configuration(2); // no query has room
         CountDownLatch wake = pause(0);
         onControl(() -> {
-            Shared.Setup setup = shared.read(tight);
-            shared.adopt(setup);
+            DaemonContext.ParsedConfiguration setup = shared.parse(tight);
+            shared.apply(setup);
             lanes.reconfigure(setup);
             return null;
         });
         both[0].ask("a", "x");
         both[1].ask("b", "x");
-        await(() -> lanes.lane(1).turns.counters.get("queries.refused.max_open") == 1);
+        await(() -> lanes.lane(1).loopDriver.counters.get("queries.refused.max_open") == 1);
         wake.countDown();
         for (Client c : both) {
             assertThat(c.answer()).startsWith("503");
@@ -346,14 +346,14 @@
         both[1].ask("q1", "hold");
         held(4);
         LaneThread dies = lanes.lane(0);
-        dies.turns.loop.execute(() -> dies.turns.deadlines.at(0, () -> {
+        dies.loopDriver.loop.execute(() -> dies.loopDriver.timers.schedule(0, () -> {
             throw new AssertionError("injected");
         }));
         await(() -> lanes.lane(0) != dies);
         await(() -> serving() == 2);
         // Its query was given up and failed; the other lane's goes on.
         held(4);
-        readers.forEach(HeldReader::release);
+        readers.forEach(FakeReader::releaseHeld);
         List<String> answers = new ArrayList<>(List.of(both[0].answer(), both[1].answer()));
         answers.sort(null);
         assertThat(answers.get(0)).startsWith("200");
@@ -362,14 +362,14 @@
         assertThat(more[0].ask("r0", "ok").answer()).startsWith("200");
         assertThat(more[1].ask("r1", "ok").answer()).startsWith("200");
         await(() -> onEnded(dies));
-        assertThat(onControl(() -> lanes.ground().openIds())).isZero();
-        assertThat(onControl(() -> lanes.ground().room())).isEqualTo(200);
+        assertThat(onControl(() -> lanes.resources().openIds())).isZero();
+        assertThat(onControl(() -> lanes.resources().freeQueryCapacity())).isEqualTo(200);
         assertThat(lanes.countersText()).contains("lanes.failed 1\n", "queries.abandoned 1\n");
         // The lane that took its place serves.
         Client[] again = both();
         assertThat(again[0].ask("s0", "ok").answer()).startsWith("200");
         assertThat(again[1].ask("s1", "ok").answer()).startsWith("200");
-        assertThat(audit.copies.get()).isZero();
+        assertThat(audit.duplicateAttempts.get()).isZero();
     }
 
     private boolean onEnded(LaneThread lane) {
@@ -389,7 +389,7 @@
         LaneThread sleeper = lanes.lane(0);
         CountDownLatch wake = pause(0);
         onControl(() -> {
-            lanes.giveUp(sleeper);
+            lanes.fence(sleeper);
             return null;
         });
         await(() -> lanes.lane(0) != sleeper && serving() == 2);
@@ -402,14 +402,14 @@
         assertThat(met).containsOnly("409");
         wake.countDown();
         await(() -> onEnded(sleeper));
-        readers.forEach(HeldReader::release);
+        readers.forEach(FakeReader::releaseHeld);
         Map<String, Integer> ends = new HashMap<>();
         for (Client c : both) {
             ends.merge(c.answer().substring(0, 3), 1, Integer::sum);
         }
         assertThat(ends).isEqualTo(Map.of("200", 1, "502", 1));
-        assertThat(audit.copies.get()).isZero();
-        assertThat(onControl(() -> lanes.ground().room())).isEqualTo(200);
+        assertThat(audit.duplicateAttempts.get()).isZero();
+        assertThat(onControl(() -> lanes.resources().freeQueryCapacity())).isEqualTo(200);
     }
 
     @Test
@@ -418,12 +418,12 @@
         CountDownLatch wake = pause(0);
         both[0].ask("asleep", "ok");
         onControl(() -> {
-            shared.drain(shared.now());
+            shared.scheduleShutdown(shared.now());
             lanes.drain();
             return null;
         });
         assertThat(both[1].ask("awake", "ok").answer()).startsWith("200");
-        await(() -> shared.now() > shared.leaveAt());
+        await(() -> shared.now() > shared.earliestExitAt());
         assertThat(control.isAlive()).isTrue();
         wake.countDown();
         assertThat(both[0].answer()).startsWith("200");
@@ -440,7 +440,7 @@
         Client[] both = both();
         for (int i = 0; i < 300; i++) {
             int to = i % 2;
-            lanes.lane(1 - to).move(to, 2);
+            lanes.lane(1 - to).requestMove(to, 2);
             for (int c = 0; c < 2; c++) {
                 both[c].ask("m" + i + "-" + c, "ok");
             }
@@ -448,8 +448,8 @@
                 assertThat(both[c].answer()).startsWith("200").contains("value of m" + i + "-" + c + ".0");
             }
         }
-        assertThat(lanes.lane(0).turns.counters.get("clients.connections.moved")
-                + lanes.lane(1).turns.counters.get("clients.connections.moved")).isPositive();
+        assertThat(lanes.lane(0).loopDriver.counters.get("clients.connections.moved")
+                + lanes.lane(1).loopDriver.counters.get("clients.connections.moved")).isPositive();
         assertThat(lanes.lane(0).share.connections() + lanes.lane(1).share.connections()).isEqualTo(2);
     }
 
@@ -460,13 +460,13 @@
         both[1].ask("q1", "hold");
         held(4);
         onControl(() -> {
-            shared.drain(shared.now());
+            shared.scheduleShutdown(shared.now());
             lanes.drain();
             return null;
         });
-        await(() -> shared.now() > shared.leaveAt());
+        await(() -> shared.now() > shared.earliestExitAt());
         assertThat(control.isAlive()).isTrue();
-        readers.forEach(HeldReader::release);
+        readers.forEach(FakeReader::releaseHeld);
         assertThat(both[0].answer()).startsWith("200");
         assertThat(both[1].answer()).startsWith("200");
         both[0].socket.close();
--- a/coordinator/src/test/java/burlford/daemon/ReaderSocketsTest.java
+++ b/coordinator/src/test/java/burlford/daemon/ReaderSocketsTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlford.core.Alone;
-import burlford.core.Census;
 import burlford.core.Client;
 import burlford.core.Coordinator;
 import burlford.core.Query;
+import burlford.core.ReaderConnectionLimits;
 import burlford.core.ReaderEntry;
+import burlford.core.SingleLaneState;
 import burlford.policy.Aggregator.ListKind;
 import burlford.policy.Aggregator.Status;
 import burlford.policy.Dispatcher;
@@ -46,9 +46,9 @@
     private static final int LONG_TEXT_BYTES = 6_000_000;
     private static final int READ_MS = 2_000;
 
-    private final HeldReader.Audit audit = new HeldReader.Audit();
-    private final List<HeldReader> readers = new ArrayList<>();
-    private final HeldResolver held = new HeldResolver();
+    private final FakeReader.Audit audit = new FakeReader.Audit();
+    private final List<FakeReader> readers = new ArrayList<>();
+    private final DelayedResolver held = new DelayedResolver();
     /** Sockets that cannot be made before one can. */
     private final AtomicInteger failures = new AtomicInteger();
     private final List<String> ends = new ArrayList<>();
@@ -56,12 +56,12 @@
     private String text = "e";
     /** Clients are found to be there when they are looked at. */
     private boolean waits = true;
-    private Turns turns;
+    private EventLoopDriver turns;
     private Coordinator coordinator;
 
     @AfterEach
     void stop() throws IOException {
-        for (HeldReader r : readers) {
+        for (FakeReader r : readers) {
             r.close();
         }
     }
@@ -77,23 +77,25 @@
         Path file = Files.createTempFile("burlford", ".json");
         file.toFile().deleteOnExit();
         Files.writeString(file, configuration.toString());
-        Shared shared = new Shared(Configuration.load(Map.of("PROXY_CONFIG", file.toString())), null);
-        turns = new Turns(Thread.currentThread(), shared.clock);
-        coordinator = new Coordinator(shared.setup().site(), Lane.dispatcher(shared.setup(), 0, 1), new Alone(() -> 0),
-                turns.deadlines, turns.counters, turns.clock);
+        DaemonContext shared = new DaemonContext(Configuration.load(Map.of("PROXY_CONFIG", file.toString())), null);
+        turns = new EventLoopDriver(Thread.currentThread(), shared.clock);
+        coordinator = new Coordinator(shared.parsedConfiguration().site(),
+                Lane.createDispatcher(shared.parsedConfiguration(), 0, 1), new SingleLaneState(() -> 0),
+                turns.timers, turns.counters, turns.clock);
         Bootstrap out = new Bootstrap().group(turns.loop).resolver(held).channelFactory(() -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException(new SocketException("Too many open files"));
             }
             return new NioSocketChannel();
         });
-        coordinator.connect(new ReaderPool(out, coordinator, turns.deadlines, Census.alone(), () -> 100));
+        coordinator.setReaderTransport(new ReaderPool(out, coordinator, turns.timers,
+                ReaderConnectionLimits.singleLane(), () -> 100));
         List<ReaderEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            readers.add(new HeldReader(audit));
+            readers.add(new FakeReader(audit));
             entries.add(entry(i, Status.READY));
         }
-        coordinator.listed(ListKind.WHOLE, entries);
+        coordinator.updateReaders(ListKind.WHOLE, entries);
     }
 
     private ReaderEntry entry(int i, Status status) {
@@ -107,7 +109,7 @@
     private long askFor(String id, long deadline) {
         Query query = new Query(id, 1, 0, 7, false, turns.now() + deadline, text.getBytes(StandardCharsets.UTF_8),
                 List.of(new Dispatcher.Part(0, 1, 0, 7)));
-        return coordinator.take(query, new Client() {
+        return coordinator.submit(query, new Client() {
             @Override
             public void answered(boolean whole, Map<Integer, String> values) {
                 end("answered");
@@ -124,7 +126,7 @@
             }
 
             @Override
-            public boolean stillWaits() {
+            public boolean isConnected() {
                 return waits;
             }
         });
@@ -145,7 +147,7 @@
 
     private void turn() {
         turns.loop.runNow();
-        turns.deadlines.sweep(turns.now());
+        turns.timers.runDue(turns.now());
         Thread.yield();
     }
 
@@ -159,15 +161,15 @@
     @Test
     void failedSocketIsReportedOnTheEventLoop() throws Exception {
         start(2, s -> { });
-        held.letThrough();
+        held.release();
         failures.set(1);
         ask("q");
         until(() -> !ends.isEmpty());
         assertThat(ends).containsExactly("answered");
         assertThat(threads).containsExactly(Thread.currentThread());
         failures.set(100);
-        coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.GONE), entry(1, Status.GONE)));
-        coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.READY), entry(1, Status.READY)));
+        coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.GONE), entry(1, Status.GONE)));
+        coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.READY), entry(1, Status.READY)));
         ask("q2");
         until(() -> ends.size() == 2);
         assertThat(ends).containsExactly("answered", "refused");
@@ -179,9 +181,9 @@
     void partIsNotSentToAReaderThatDrainedBeforeItsConnectionCameUp() throws Exception {
         start(1, s -> { });
         ask("q");
-        until(() -> held.held() == 1);
-        coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.DRAINING)));
-        held.letThrough();
+        until(() -> held.heldCount() == 1);
+        coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.DRAINING)));
+        held.release();
         assertSentOnceTheReaderIsReadyAgain();
     }
 
@@ -190,9 +192,9 @@
     void partIsNotSentToAReaderThatWentBeforeItsConnectionCameUp() throws Exception {
         start(2, s -> { });
         ask("q");
-        until(() -> held.held() == 1);
-        coordinator.listed(ListKind.WHOLE, List.of());
-        held.letThrough();
+        until(() -> held.heldCount() == 1);
+        coordinator.updateReaders(ListKind.WHOLE, List.of());
+        held.release();
         until(() -> !ends.isEmpty());
         assertThat(ends).containsExactly("refused");
         assertThat(audit.attempts).isEmpty();
@@ -203,12 +205,12 @@
     void partOfAClientThatLeftIsNotSentWhenItsConnectionComesUp() throws Exception {
         start(1, s -> ((ObjectNode) s.get("allowed")).put("mayCancel", false));
         long number = ask("q");
-        until(() -> held.held() == 1);
-        coordinator.left(number);
-        held.letThrough();
+        until(() -> held.heldCount() == 1);
+        coordinator.clientLeft(number);
+        held.release();
         letAnotherThrough();
         assertThat(audit.attempts.keySet()).containsExactly("after.0");
-        assertThat(coordinator.idle()).isTrue();
+        assertThat(coordinator.isIdle()).isTrue();
     }
 
     /** Guards against a part sent for a query that had been answered as failed, where parts may not be cancelled. */
@@ -217,7 +219,7 @@
         start(1, s -> ((ObjectNode) s.get("allowed")).put("mayCancel", false));
         askFor("q", SHORT_DEADLINE_US);
         until(() -> !ends.isEmpty());
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         assertThat(audit.attempts.keySet()).containsExactly("after.0");
     }
@@ -227,9 +229,9 @@
     void queryThatIsOpenAtTheShutdownEndsByItsTime() throws Exception {
         start(1, s -> { });
         ask("q");
-        until(() -> held.held() == 1);
+        until(() -> held.heldCount() == 1);
         long endBy = turns.now() + SHORT_DEADLINE_US;
-        coordinator.endBy(endBy);
+        coordinator.answerAllBy(endBy);
         until(() -> turns.now() >= endBy);
         assertThat(ends).containsExactly("failed");
         assertThat(turns.counters.get("queries.failed.shutdown")).isEqualTo(1);
@@ -239,10 +241,10 @@
     @Test
     void partOfAClientThatLeftInTheSameTurnIsNotSent() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         long number = ask("q");
-        coordinator.left(number);
+        coordinator.clientLeft(number);
         turn();
         assertThat(audit.attempts.keySet()).containsExactly("after.0");
         ends.clear();
@@ -254,11 +256,11 @@
     @Test
     void partIsNotSentToAReaderThatDrainsInTheSameTurn() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         ends.clear();
         ask("q");
-        coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.DRAINING)));
+        coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.DRAINING)));
         turn();
         assertSentOnceTheReaderIsReadyAgain();
     }
@@ -267,7 +269,7 @@
     @Test
     void partOfAQueryWhoseTimeEndedWithinTheTurnIsNotSent() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         ends.clear();
         askFor("q", SHORT_DEADLINE_US);
@@ -282,14 +284,14 @@
     @Test
     void partOfAClientThatLeavesInTheTurnInWhichItsConnectionComesUpIsNotSent() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         long number = ask("q");
-        turns.deadlines.sweep(turns.now());
+        turns.timers.runDue(turns.now());
         for (int i = 0; i < TURNS_TO_CONNECT; i++) { // of the loop alone: nothing is swept
             turns.loop.runNow();
             Thread.sleep(1);
         }
-        coordinator.left(number);
+        coordinator.clientLeft(number);
         letAnotherThrough();
         assertThat(audit.attempts.keySet()).containsExactly("after.0");
     }
@@ -298,26 +300,26 @@
     @Test
     void partsOfAClientThatIsFoundGoneAreNotSent() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         ask("q");
         waits = false;
         turn();
         waits = true;
-        assertThat(coordinator.idle()).isTrue();
+        assertThat(coordinator.isIdle()).isTrue();
         assertThat(turns.counters.get("queries.left")).isEqualTo(1);
         letAnotherThrough();
         assertThat(audit.attempts.keySet()).containsExactly("after.0");
     }
 
     /** Queries with long texts, of which the last is not written: the reader does not read. */
-    private List<Long> fillTheSocketOf(UnreadReader reader) throws Exception {
+    private List<Long> fillTheSocketOf(StalledReader reader) throws Exception {
         start(0, s -> {
             ((ObjectNode) s.get("allowed")).put("maxOpen", 4 * LONG_QUERIES).put("multiplex", LONG_QUERIES);
             ((ObjectNode) s.get("rules")).put("cold", 1); // else it would be in slow start
         });
-        held.letThrough();
-        coordinator.listed(ListKind.WHOLE, List.of(reader.entry(Status.READY)));
+        held.release();
+        coordinator.updateReaders(ListKind.WHOLE, List.of(reader.entry(Status.READY)));
         List<Long> numbers = new ArrayList<>(List.of(ask("short")));
         text = "e".repeat(LONG_TEXT_BYTES);
         for (int i = 0; i < LONG_QUERIES; i++) {
@@ -333,8 +335,8 @@
     /** Guards against parts that waited in a full socket and were sent when their reader read again. */
     @Test
     void partsOfClientsThatLeftAreNotSentFromAFullSocket() throws Exception {
-        try (UnreadReader reader = new UnreadReader()) {
-            fillTheSocketOf(reader).forEach(coordinator::left);
+        try (StalledReader reader = new StalledReader()) {
+            fillTheSocketOf(reader).forEach(coordinator::clientLeft);
             turn();
             reader.readFor(READ_MS, this::turn);
             assertThat(reader.parts()).contains("short.0").doesNotContain("q" + (LONG_QUERIES - 1) + ".0");
@@ -344,9 +346,9 @@
     /** Guards against a second attempt out where the word that gives the first one up waits behind a full socket. */
     @Test
     void attemptIsGivenUpByClosingWhereItsCancelWouldWait() throws Exception {
-        try (UnreadReader reader = new UnreadReader()) {
+        try (StalledReader reader = new StalledReader()) {
             long written = fillTheSocketOf(reader).get(0);
-            coordinator.left(written);
+            coordinator.clientLeft(written);
             assertThat(turns.counters.get("readers.connections.full")).isEqualTo(1);
         }
     }
@@ -354,9 +356,9 @@
     /** Guards against the same where the reader drains meanwhile. */
     @Test
     void partsAreNotSentFromAFullSocketToAReaderThatDrains() throws Exception {
-        try (UnreadReader reader = new UnreadReader()) {
+        try (StalledReader reader = new StalledReader()) {
             fillTheSocketOf(reader);
-            coordinator.listed(ListKind.CHANGES, List.of(reader.entry(Status.DRAINING)));
+            coordinator.updateReaders(ListKind.CHANGES, List.of(reader.entry(Status.DRAINING)));
             turn();
             reader.readFor(READ_MS, this::turn);
             assertThat(reader.parts()).contains("short.0").doesNotContain("q" + (LONG_QUERIES - 1) + ".0");
@@ -367,13 +369,13 @@
     @Test
     void partIsNotSentToAReaderWhoseDrainIsFoundWhenItIsHandedOver() throws Exception {
         start(1, s -> { });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         ends.clear();
-        coordinator.onSending(() -> coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.DRAINING))));
+        coordinator.onBeforeSend(() -> coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.DRAINING))));
         ask("q");
         turn();
-        coordinator.onSending(() -> { });
+        coordinator.onBeforeSend(() -> { });
         assertSentOnceTheReaderIsReadyAgain();
     }
 
@@ -382,10 +384,10 @@
     void partIsNotSentToAReaderThatRestartedBeforeItsConnectionCameUp() throws Exception {
         start(1, s -> { });
         ask("q");
-        until(() -> held.held() == 1);
+        until(() -> held.heldCount() == 1);
         ReaderEntry before = entry(0, Status.READY);
-        coordinator.listed(ListKind.CHANGES, List.of(new ReaderEntry(before.id(), before.host(), before.port(), "", 0,
-                Status.READY, 1, turns.now())));
+        coordinator.updateReaders(ListKind.CHANGES, List.of(new ReaderEntry(before.id(), before.host(), before.port(),
+                "", 0, Status.READY, 1, turns.now())));
         assertThat(turns.counters.get("attempts.moot")).isEqualTo(1);
     }
 
@@ -396,23 +398,23 @@
             ((ObjectNode) s.get("allowed")).put("connectTimeout", 250_000);
             s.get("classes").forEach(c -> ((ObjectNode) c).put("deadline", 800_000));
         });
-        held.letThrough();
+        held.release();
         letAnotherThrough();
         ends.clear();
         text = "hold";
         ask("q");
-        until(() -> readers.get(0).held() == 1);
+        until(() -> readers.get(0).heldCount() == 1);
         awaitTime(turns.now() + SILENCE_US);
-        readers.get(0).release();
+        readers.get(0).releaseHeld();
         Thread.sleep(TURNS_TO_CONNECT);
-        turns.deadlines.sweep(turns.now());
+        turns.timers.runDue(turns.now());
         assertThat(turns.counters.get("readers.connections.asked")).isZero();
         assertThat(ends).containsExactly("answered");
     }
 
     /** Of two decisions to send the part of q, one came to nothing. */
     private void assertSentOnceTheReaderIsReadyAgain() {
-        coordinator.listed(ListKind.CHANGES, List.of(entry(0, Status.READY)));
+        coordinator.updateReaders(ListKind.CHANGES, List.of(entry(0, Status.READY)));
         until(() -> !ends.isEmpty());
         assertThat(ends).containsExactly("answered");
         assertThat(audit.attempts.get("q.0")).isEqualTo(1);
--- a/coordinator/src/test/java/burlford/daemon/LateRepeatTest.java
+++ b/coordinator/src/test/java/burlford/daemon/RepeatWindowTest.java
@@ -2,15 +2,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlford.core.Alone;
 import burlford.core.Call;
 import burlford.core.Client;
 import burlford.core.Coordinator;
 import burlford.core.Counters;
-import burlford.core.Deadlines;
 import burlford.core.Query;
 import burlford.core.ReaderEntry;
-import burlford.core.Readers;
+import burlford.core.ReaderTransport;
+import burlford.core.SingleLaneState;
+import burlford.core.Timers;
 import burlford.policy.Aggregator.ListKind;
 import burlford.policy.Aggregator.Outcome;
 import burlford.policy.Aggregator.Status;
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A further attempt of a part that may be repeated only for a while, held up between its decision and its sending. */
-class LateRepeatTest {
+class RepeatWindowTest {
 
     private static final long WINDOW_US = 500_000;
     private long now = 5_000_000;
-    private final Deadlines deadlines = new Deadlines();
+    private final Timers deadlines = new Timers();
     private final List<Call> calls = new ArrayList<>();
 
     private Coordinator coordinator() throws Exception {
@@ -42,22 +42,22 @@
         ((ObjectNode) root.at("/settings/classes/0")).put("effect", "dedup").put("memorySpan", WINDOW_US);
         Path file = Files.writeString(Files.createTempFile("configuration", ".json"), root.toString());
         file.toFile().deleteOnExit();
-        Shared.Setup setup = new Shared(Configuration.load(Map.of("PROXY_CONFIG", file.toString(),
-                "PROXY_DISCOVERY", "127.0.0.1:1")), null).setup();
-        Coordinator c = new Coordinator(setup.site(), Lane.dispatcher(setup, 0, 1), new Alone(() -> 0), deadlines,
-                new Counters(), () -> now);
-        c.connect((Readers) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Readers.class},
-                (proxy, method, a) -> {
+        DaemonContext.ParsedConfiguration setup = new DaemonContext(Configuration.load(Map.of("PROXY_CONFIG",
+                file.toString(), "PROXY_DISCOVERY", "127.0.0.1:1")), null).parsedConfiguration();
+        Coordinator c = new Coordinator(setup.site(), Lane.createDispatcher(setup, 0, 1), new SingleLaneState(() -> 0),
+                deadlines, new Counters(), () -> now);
+        c.setReaderTransport((ReaderTransport) Proxy.newProxyInstance(getClass().getClassLoader(),
+                new Class<?>[] {ReaderTransport.class}, (proxy, method, a) -> {
                     if (method.getName().equals("send")) {
                         calls.add((Call) a[0]);
                     }
                     return method.getReturnType() == boolean.class ? Boolean.FALSE : null;
                 }));
-        c.listed(ListKind.WHOLE, List.of(reader("s0"), reader("s1")));
-        c.take(new Query("q", 0, 0, 0, false, now + 4_000_000, new byte[0], List.of(new Dispatcher.Part(0, 1, 0, 0))),
+        c.updateReaders(ListKind.WHOLE, List.of(reader("s0"), reader("s1")));
+        c.submit(new Query("q", 0, 0, 0, false, now + 4_000_000, new byte[0], List.of(new Dispatcher.Part(0, 1, 0, 0))),
                 (Client) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Client.class},
                         (proxy, method, a) -> method.getReturnType() == boolean.class ? Boolean.TRUE : null));
-        deadlines.sweep(now);
+        deadlines.runDue(now);
         return c;
     }
 
@@ -69,22 +69,22 @@
     @Test
     void partIsNotRepeatedPastItsWindowByALongTurn() throws Exception {
         Coordinator c = coordinator();
-        c.ended(calls.get(0), Outcome.ERROR, null, new double[0]);
+        c.callEnded(calls.get(0), Outcome.ERROR, null, new double[0]);
         now += WINDOW_US;
-        deadlines.sweep(now);
+        deadlines.runDue(now);
         assertThat(calls).hasSize(1);
-        assertThat(c.idle()).isTrue();
+        assertThat(c.isIdle()).isTrue();
     }
 
     /** Guards against the same, since its connection came up late. */
     @Test
     void partIsNotRepeatedPastItsWindowOnAConnectionThatCameUpLate() throws Exception {
         Coordinator c = coordinator();
-        c.ended(calls.get(0), Outcome.ERROR, null, new double[0]);
-        deadlines.sweep(now);
+        c.callEnded(calls.get(0), Outcome.ERROR, null, new double[0]);
+        deadlines.runDue(now);
         assertThat(calls).hasSize(2);
-        assertThat(c.clearToSend(calls.get(1))).isTrue();
+        assertThat(c.passesSendCheck(calls.get(1))).isTrue();
         now += WINDOW_US;
-        assertThat(c.clearToSend(calls.get(1))).isFalse();
+        assertThat(c.passesSendCheck(calls.get(1))).isFalse();
     }
 }
--- a/coordinator/src/test/java/burlford/daemon/ShutdownScheduleTest.java
+++ b/coordinator/src/test/java/burlford/daemon/ShutdownScheduleTest.java
@@ -22,20 +22,20 @@
     void allIsAnsweredBeforeTheKill(long longestDeadline) {
         ShutdownSchedule schedule = ShutdownSchedule.of(NOW, longestDeadline);
         long kill = NOW + Math.min(LONGEST_DEADLINE_COUNTED, longestDeadline) + KILL_BEHIND_DEADLINE;
-        assertThat(schedule.endBy() + HELD_UP).isLessThan(kill);
-        assertThat(schedule.stopAt()).isBetween(NOW + NEW_CONNECTIONS, schedule.endBy());
-        assertThat(schedule.leaveAt()).isBetween(NOW + NEW_CONNECTIONS, schedule.stopAt());
-        assertThat(schedule.handOverAt()).isBetween(NOW, schedule.stopAt());
+        assertThat(schedule.answerAllBy() + HELD_UP).isLessThan(kill);
+        assertThat(schedule.exitDespiteClientsAt()).isBetween(NOW + NEW_CONNECTIONS, schedule.answerAllBy());
+        assertThat(schedule.earliestExitAt()).isBetween(NOW + NEW_CONNECTIONS, schedule.exitDespiteClientsAt());
+        assertThat(schedule.closeAfterReplyAt()).isBetween(NOW, schedule.exitDespiteClientsAt());
     }
 
     /** Guards against answers behind the kill, where the event loop is busy when the signal comes. */
     @Test
     void shutdownCountsFromTheSignalThoughTheLoopGetsToItLate() throws Exception {
-        Shared shared = new Shared(LanesTest.configuration(20), null);
+        DaemonContext shared = new DaemonContext(MultiLaneGroupTest.configuration(20), null);
         long toldAt = shared.now() - 800_000;
-        shared.drain(toldAt);
-        ShutdownSchedule expected = ShutdownSchedule.of(toldAt, shared.setup().site().longestDeadline());
-        assertThat(shared.endBy()).isEqualTo(expected.endBy());
-        assertThat(shared.stopAt()).isEqualTo(expected.stopAt());
+        shared.scheduleShutdown(toldAt);
+        ShutdownSchedule expected = ShutdownSchedule.of(toldAt, shared.parsedConfiguration().site().longestDeadline());
+        assertThat(shared.answerAllBy()).isEqualTo(expected.answerAllBy());
+        assertThat(shared.exitDespiteClientsAt()).isEqualTo(expected.exitDespiteClientsAt());
     }
 }
--- a/coordinator/src/test/java/burlford/daemon/UnreadReader.java
+++ b/coordinator/src/test/java/burlford/daemon/StalledReader.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A stand-in reader that takes one connection and reads nothing on it before it is told to; it never answers. */
-final class UnreadReader implements AutoCloseable {
+final class StalledReader implements AutoCloseable {
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<String> parts = new CopyOnWriteArrayList<>();
 
-    UnreadReader() throws IOException { }
+    StalledReader() throws IOException { }
 
     ReaderEntry entry(Status status) {
         return new ReaderEntry("unread", "127.0.0.1", listener.getLocalPort(), "", 0, status, 1, 0);
--- a/coordinator/src/test/java/burlford/discovery/DiscoveryStandIn.java
+++ b/coordinator/src/test/java/burlford/discovery/FakeDiscovery.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A listener that takes connections, keeps them open and says only what a test has it say. */
-final class DiscoveryStandIn implements AutoCloseable {
+final class FakeDiscovery implements AutoCloseable {
 
     static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    DiscoveryStandIn() throws IOException {
+    FakeDiscovery() throws IOException {
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
--- a/coordinator/src/test/java/burlford/discovery/WatchTest.java
+++ b/coordinator/src/test/java/burlford/discovery/WatchTest.java
@@ -1,16 +1,16 @@
 package burlford.discovery;
 
-import static burlford.discovery.DiscoveryStandIn.HEAD;
-import static burlford.discovery.DiscoveryStandIn.chunk;
-import static burlford.discovery.DiscoveryStandIn.list;
-import static burlford.discovery.DiscoveryStandIn.member;
+import static burlford.discovery.FakeDiscovery.HEAD;
+import static burlford.discovery.FakeDiscovery.chunk;
+import static burlford.discovery.FakeDiscovery.list;
+import static burlford.discovery.FakeDiscovery.member;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlford.core.Counters;
-import burlford.core.Deadlines;
 import burlford.core.ReaderEntry;
-import burlford.core.Roster;
+import burlford.core.ReaderRegistry;
 import burlford.core.Site;
+import burlford.core.Timers;
 import burlford.policy.Aggregator.ListKind;
 import burlford.policy.Aggregator.Status;
 import io.netty.bootstrap.Bootstrap;
@@ -39,18 +39,18 @@
     private static final long REAL_PATIENCE_NS = 20_000_000_000L;
 
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Deadlines deadlines = new Deadlines();
+    private final Timers deadlines = new Timers();
     private final Counters counters = new Counters();
     private final List<String> told = new ArrayList<>();
     private long now = 100 * SECOND;
     /** Sockets that cannot be made before one can. */
     private final AtomicInteger failures = new AtomicInteger();
-    private DiscoveryStandIn discovery;
+    private FakeDiscovery discovery;
     private Watch watch;
 
-    private final Roster roster = new Roster() {
+    private final ReaderRegistry roster = new ReaderRegistry() {
         @Override
-        public void listed(ListKind kind, List<ReaderEntry> entries) {
+        public void updateReaders(ListKind kind, List<ReaderEntry> entries) {
             entries.forEach(e -> told.add(e.id() + " " + e.status()));
         }
 
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void onListed(Runnable action) { }
+        public void onReadersUpdated(Runnable action) { }
 
         @Override
         public Site site() {
@@ -80,7 +80,7 @@
 
     @BeforeEach
     void start() throws IOException {
-        discovery = new DiscoveryStandIn();
+        discovery = new FakeDiscovery();
         Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(() -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException(new SocketException("Too many open files"));
@@ -88,7 +88,7 @@
             return new NioSocketChannel();
         });
         watch = new Watch(bootstrap, discovery.address(), roster, deadlines);
-        watch.start(new ListReader.Listing(41, true, List.of(
+        watch.start(new ReaderListParser.ReaderList(41, true, List.of(
                 new ReaderEntry("s1", "127.0.0.1", 9, "", 0, Status.READY, 1, 0))));
         until(() -> discovery.connections() == 1);
     }
@@ -117,7 +117,7 @@
         while (counters.get("discovery.connections") == asked) {
             assertThat(now - from).as("no further call").isLessThan(60 * SECOND);
             now += STEP;
-            deadlines.sweep(now);
+            deadlines.runDue(now);
             loop.runNow();
         }
         until(() -> discovery.connections() > before);
@@ -164,7 +164,7 @@
         discovery.send(0, HEAD + chunk("oops"));
         until(() -> counters.get("discovery.lists.bad") == 1);
         for (long end = now + SECOND; now < end; now += STEP) {
-            deadlines.sweep(now);
+            deadlines.runDue(now);
             loop.runNow();
         }
         until(() -> discovery.connections() == 2);
@@ -182,7 +182,7 @@
             discovery.send(0, chunk("\n") + chunk(list(42 + i, false, member("s1", "Ready"))));
             until(() -> told.size() > heard);
             for (long end = now + 2 * SECOND; now < end; now += STEP) {
-                deadlines.sweep(now);
+                deadlines.runDue(now);
             }
         }
         assertThat(counters.get("discovery.connections")).isEqualTo(1);
--- a/coordinator/src/test/java/burlford/inventory/InventoryTest.java
+++ b/coordinator/src/test/java/burlford/inventory/InventoryTest.java
@@ -31,8 +31,8 @@
 
     @Test
     void variablesComeFromTheNearestGroup() throws Exception {
-        Inventory read = Inventory.read(YAML, false, 2);
-        assertThat(read.entries()).containsExactly(
+        Inventory read = Inventory.parse(YAML, false, 2);
+        assertThat(read.readerEntries()).containsExactly(
                 new ReaderEntry("r1", "10.0.0.1", 5000, "hall", 0, Status.READY, 1, 0),
                 new ReaderEntry("r2", "10.0.0.2", 5000, "hall", 0, Status.DRAINING, 1.5, 0),
                 new ReaderEntry("r3", "10.0.0.3", 5000, "hall", 1, Status.READY, 1, 0));
@@ -42,9 +42,9 @@
 
     @Test
     void bothFormsRoundTrip() throws Exception {
-        Inventory read = Inventory.read(YAML, false, 2);
-        assertThat(Inventory.read(read.write(false), false, 2)).isEqualTo(read);
-        assertThat(Inventory.read(read.write(true), true, 2)).isEqualTo(read);
+        Inventory read = Inventory.parse(YAML, false, 2);
+        assertThat(Inventory.parse(read.format(false), false, 2)).isEqualTo(read);
+        assertThat(Inventory.parse(read.format(true), true, 2)).isEqualTo(read);
     }
 
     @ParameterizedTest
@@ -58,25 +58,26 @@
         "r1,10.0.0.1 | line 2: 2 values under 4 columns"})
     void csvFaultsNameTheirLine(String rows, String fault) {
         String text = "id,ansible_host,ansible_port,cell\n" + rows.replace(';', '\n') + "\n";
-        assertThatThrownBy(() -> Inventory.read(text, true, 2)).isInstanceOf(Inventory.Bad.class).hasMessage(fault);
+        assertThatThrownBy(() -> Inventory.parse(text, true, 2)).isInstanceOf(Inventory.InvalidInventoryException.class)
+                .hasMessage(fault);
     }
 
     @Test
     void yamlFaultsNameTheirLine() {
-        assertThatThrownBy(() -> Inventory.read(YAML.replace("r3:", "r1:"), false, 2))
+        assertThatThrownBy(() -> Inventory.parse(YAML.replace("r3:", "r1:"), false, 2))
                 .hasMessage("line 14: duplicate id r1, first on line 7");
-        assertThatThrownBy(() -> Inventory.read(YAML.replace("cell: 1", "cell: x"), false, 2))
+        assertThatThrownBy(() -> Inventory.parse(YAML.replace("cell: 1", "cell: x"), false, 2))
                 .hasMessage("line 14: host r3 has a bad cell (0 to 1): x");
-        assertThatThrownBy(() -> Inventory.read(YAML.replace("{cell: 0, rack: 8}", "[cell]"), false, 2))
+        assertThatThrownBy(() -> Inventory.parse(YAML.replace("{cell: 0, rack: 8}", "[cell]"), false, 2))
                 .hasMessage("line 5: a list where a mapping or a word belongs");
-        assertThatThrownBy(() -> Inventory.read("all: {hosts: {r1: {ansible_host: ", false, 2))
-                .isInstanceOf(Inventory.Bad.class).hasMessageStartingWith("line ");
+        assertThatThrownBy(() -> Inventory.parse("all: {hosts: {r1: {ansible_host: ", false, 2))
+                .isInstanceOf(Inventory.InvalidInventoryException.class).hasMessageStartingWith("line ");
     }
 
     @Test
     void aHeaderIsNeeded() throws IOException {
-        assertThatThrownBy(() -> Inventory.read("id,ansible_host,cell\n", true, 2))
+        assertThatThrownBy(() -> Inventory.parse("id,ansible_host,cell\n", true, 2))
                 .hasMessage("line 1: the header lacks the column ansible_port");
-        assertThatThrownBy(() -> Inventory.read("", true, 2)).hasMessage("line 1: there is no header row");
+        assertThatThrownBy(() -> Inventory.parse("", true, 2)).hasMessage("line 1: there is no header row");
     }
 }
--- a/coordinator/src/test/java/burlford/lanes/Interleavings.java
+++ b/coordinator/src/test/java/burlford/lanes/Interleavings.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 
 /**
- * Runs small programs over {@link Cells} in every order in which their steps can fall: one step is one access to a
- * cell. Each order is played from the start, with the threads taking turns as a schedule says.
+ * Runs small programs over {@link AtomicLongs} in every order in which their steps can fall: one step is one access to
+ * a cell. Each order is played from the start, with the threads taking turns as a schedule says.
  */
 final class Interleavings {
 
@@ -22,11 +22,11 @@
     private StringBuilder[] histories = {};
     private int played;
 
-    private final class Stepped implements Cells {
-        private final Cells cells;
+    private final class SteppedLongs implements AtomicLongs {
+        private final AtomicLongs cells;
         private final int count;
 
-        Stepped(Cells cells, int count) {
+        SteppedLongs(AtomicLongs cells, int count) {
             this.cells = cells;
             this.count = count;
         }
@@ -38,9 +38,9 @@
         }
 
         @Override
-        public boolean set(int cell, long expected, long to) {
+        public boolean compareAndSet(int cell, long expected, long to) {
             turn();
-            return seen(cells.set(cell, expected, to));
+            return seen(cells.compareAndSet(cell, expected, to));
         }
 
         /** What a program saw so far is all it goes by: with the cells it says where the whole stands. */
@@ -98,16 +98,16 @@
      * Plays all orders, the case made anew for each over so many cells; where one comes to a state that another was
      * in, what can follow has been played or will be. Returns how many were played.
      */
-    static int all(int cells, Function<Cells, Case> make) {
+    static int runAll(int cells, Function<AtomicLongs, Case> make) {
         Interleavings i = new Interleavings();
         do {
-            Stepped stepped = i.new Stepped(Cells.atomic(cells), cells);
+            SteppedLongs stepped = i.new SteppedLongs(AtomicLongs.padded(cells), cells);
             i.play(make.apply(stepped), stepped);
         } while (i.next());
         return i.played;
     }
 
-    private void play(Case c, Stepped cells) {
+    private void play(Case c, SteppedLongs cells) {
         boolean known = false;
         int n = c.programs().size();
         waits = new boolean[n];
--- a/coordinator/src/test/java/burlford/lanes/LaneShareTest.java
+++ b/coordinator/src/test/java/burlford/lanes/LaneShareTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlford.policy.Aggregator.Outcome;
-import burlford.policy.Word;
+import burlford.policy.PeerUpdate;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CyclicBarrier;
@@ -16,7 +16,7 @@
 
     private static final int OPEN = 40;
     private long now = 1_000_000;
-    private final Ground ground = new Ground(2, OPEN, 1000, 160);
+    private final ProcessResources ground = new ProcessResources(2, OPEN, 1000, 160);
     private final List<Runnable> posted = new ArrayList<>();
     private final LaneShare a = share(0);
     private final LaneShare b = share(1);
@@ -34,7 +34,7 @@
     }
 
     private void probed(String reader) {
-        a.probed(reader, Outcome.OK, 0, 1, new double[0]);
+        a.notifyProbed(reader, Outcome.OK, 0, 1, new double[0]);
     }
 
     @Test
@@ -53,7 +53,7 @@
                         if (i % 100 == 0) {
                             barrier.await();
                         }
-                        if (lane.claim("id-" + i)) {
+                        if (lane.claimId("id-" + i)) {
                             won.incrementAndGet();
                             both.addAndGet(holders[i].incrementAndGet() - 1);
                         }
@@ -75,7 +75,9 @@
         assertThat(ground.openIds()).isZero();
     }
 
-    /** Threads for lanes take and leave room as fast as they can, one dies with all it has: never over, nothing lost. */
+    /**
+     * Threads for lanes take and leave room as fast as they can, one dies with all it has: never over, nothing lost.
+     */
     @Test
     void roomIsNeverExceededAndAllComesBack() throws Exception {
         AtomicLong used = new AtomicLong();
@@ -88,14 +90,14 @@
                 java.util.ArrayDeque<Integer> mine = new java.util.ArrayDeque<>();
                 for (int i = 0; i < 300_000; i++) {
                     int units = 1 + random.nextInt(6);
-                    if (random.nextBoolean() && lane.enter(units, OPEN)) {
+                    if (random.nextBoolean() && lane.tryAcquireCapacity(units, OPEN)) {
                         over.addAndGet(used.addAndGet(units) > OPEN ? 1 : 0);
                         taken.incrementAndGet();
                         mine.add(units);
                     } else if (!mine.isEmpty()) {
                         int back = mine.poll();
                         used.addAndGet(-back);
-                        lane.leave(back);
+                        lane.releaseCapacity(back);
                     }
                 }
                 used.addAndGet(-mine.stream().mapToInt(u -> u).sum());
@@ -109,106 +111,107 @@
         }
         assertThat(over.get()).isZero();
         assertThat(taken.get()).isGreaterThan(1000);
-        assertThat(ground.room()).isEqualTo(OPEN);
+        assertThat(ground.freeQueryCapacity()).isEqualTo(OPEN);
     }
 
     @Test
     void oneLaneMayUseAllThatTheOtherLeavesIdle() {
-        assertThat(a.enter(1, OPEN)).isTrue(); // takes a chunk into its store
-        assertThat(b.enter(OPEN - 1, OPEN)).isTrue();
-        assertThat(a.enter(1, OPEN)).isFalse();
-        b.leave(OPEN - 1);
-        assertThat(a.enter(OPEN - 1, OPEN)).isTrue();
+        assertThat(a.tryAcquireCapacity(1, OPEN)).isTrue(); // takes a chunk into its store
+        assertThat(b.tryAcquireCapacity(OPEN - 1, OPEN)).isTrue();
+        assertThat(a.tryAcquireCapacity(1, OPEN)).isFalse();
+        b.releaseCapacity(OPEN - 1);
+        assertThat(a.tryAcquireCapacity(OPEN - 1, OPEN)).isTrue();
     }
 
     @Test
     void oneProbeIsOutToAReaderWhicheverLaneAsks() {
-        assertThat(a.mayProbe("r")).isTrue();
-        assertThat(b.mayProbe("r")).isFalse();
-        assertThat(a.mayProbe("r")).isFalse();
-        assertThat(b.mayProbe("s")).isTrue();
+        assertThat(a.claimProbe("r")).isTrue();
+        assertThat(b.claimProbe("r")).isFalse();
+        assertThat(a.claimProbe("r")).isFalse();
+        assertThat(b.claimProbe("s")).isTrue();
         probed("r");
-        assertThat(b.heard()).hasSize(1);
-        assertThat(b.mayProbe("r")).isTrue();
+        assertThat(b.pollPeerUpdates()).hasSize(1);
+        assertThat(b.claimProbe("r")).isTrue();
         // A lane that is given up with a question out: the others may ask.
-        b.giveUp();
-        assertThat(a.mayProbe("r")).isTrue();
-        assertThat(a.mayProbe("s")).isTrue();
+        b.fence();
+        assertThat(a.claimProbe("r")).isTrue();
+        assertThat(a.claimProbe("s")).isTrue();
     }
 
     @Test
     void aFullQueueDropsTheOldestWordsAndSaysSoAndKeepsOrders() {
         List<String> ordered = new ArrayList<>();
-        for (int i = 0; i < 3 * WordQueue.CAPACITY; i++) {
+        for (int i = 0; i < 3 * PeerUpdateQueue.CAPACITY; i++) {
             int n = i;
             probed("r" + i);
-            a.flush();
-            b.order(() -> ordered.add("list " + n));
-            b.tell(i + 1);
+            a.flushPeerUpdates();
+            b.stageBroadcast(() -> ordered.add("list " + n));
+            b.publishBroadcasts(i + 1);
         }
-        b.catchUp();
-        assertThat(ordered).hasSize(3 * WordQueue.CAPACITY).startsWith("list 0").endsWith("list " + (ordered.size() - 1));
-        List<Word> heard = b.heard();
-        assertThat(heard.get(0)).isInstanceOf(Word.Lost.class);
-        assertThat(heard).hasSize(1 + WordQueue.CAPACITY);
+        b.applyBroadcasts();
+        assertThat(ordered).hasSize(3 * PeerUpdateQueue.CAPACITY).startsWith("list 0")
+                .endsWith("list " + (ordered.size() - 1));
+        List<PeerUpdate> heard = b.pollPeerUpdates();
+        assertThat(heard.get(0)).isInstanceOf(PeerUpdate.UpdatesLost.class);
+        assertThat(heard).hasSize(1 + PeerUpdateQueue.CAPACITY);
         assertThat(heard.get(heard.size() - 1)).extracting("reader").isEqualTo("r" + (ordered.size() - 1));
         probed("last");
-        a.flush();
-        assertThat(b.heard()).hasSize(1); // the loss was told once
-        assertThat(b.dropped()).isEqualTo(2 * WordQueue.CAPACITY);
+        a.flushPeerUpdates();
+        assertThat(b.pollPeerUpdates()).hasSize(1); // the loss was told once
+        assertThat(b.droppedBatches()).isEqualTo(2 * PeerUpdateQueue.CAPACITY);
     }
 
     @Test
     void anOrderCountsFromTheMomentItIsToldToAllAndBeforeWhatIsDecidedNext() {
         List<String> log = new ArrayList<>();
-        a.order(() -> log.add("a"));
-        b.order(() -> log.add("b"));
-        a.catchUp();
+        a.stageBroadcast(() -> log.add("a"));
+        b.stageBroadcast(() -> log.add("b"));
+        a.applyBroadcasts();
         assertThat(log).isEmpty(); // not told yet: the other might not know
-        a.tell(1);
-        b.tell(1);
-        b.catchUp();
-        a.catchUp();
+        a.publishBroadcasts(1);
+        b.publishBroadcasts(1);
+        b.applyBroadcasts();
+        a.applyBroadcasts();
         assertThat(log).containsExactly("b", "a");
-        assertThat(a.taken()).isEqualTo(1);
+        assertThat(a.appliedGeneration()).isEqualTo(1);
         runPosted(); // what was posted to wake them finds nothing more
         assertThat(log).hasSize(2);
     }
 
     @Test
     void whatALaneThatStoodStillReadsIsAsOldAsItsSilence() {
-        a.ask(now, () -> { });
+        a.sendHeartbeat(now, () -> { });
         now += 300_000;
-        assertThat(a.stoodStill()).isEqualTo(300_000);
+        assertThat(a.stallUs()).isEqualTo(300_000);
         runPosted();
-        assertThat(a.stoodStill()).isZero();
-        a.ask(now, () -> { });
+        assertThat(a.stallUs()).isZero();
+        a.sendHeartbeat(now, () -> { });
         now += 20_000;
-        assertThat(a.stoodStill()).isZero(); // the ordinary lag of a loop at work
+        assertThat(a.stallUs()).isZero(); // the ordinary lag of a loop at work
     }
 
     @Test
     void connectionsToAReaderAreBoundedForAllLanesAndEachMayHaveOne() {
-        ground.readers(10); // 160 descriptors: 50 for readers, 5 for each
+        ground.setReaderCount(10); // 160 descriptors: 50 for readers, 5 for each
         int opened = 0;
-        while (a.census().mayOpen("r", opened)) {
-            a.census().opened("r");
+        while (a.readerConnectionLimits().mayOpen("r", opened)) {
+            a.readerConnectionLimits().opened("r");
             opened++;
         }
         assertThat(opened).isEqualTo(5);
-        assertThat(b.census().mayOpen("r", 0)).isTrue();
-        assertThat(b.census().mayOpen("r", 1)).isFalse();
+        assertThat(b.readerConnectionLimits().mayOpen("r", 0)).isTrue();
+        assertThat(b.readerConnectionLimits().mayOpen("r", 1)).isFalse();
         a.close();
-        assertThat(b.census().mayOpen("r", 1)).isTrue();
+        assertThat(b.readerConnectionLimits().mayOpen("r", 1)).isTrue();
         assertThat(ground.readerConnections()).isZero();
     }
 
     @Test
     void noQueryNumberIsGivenTwice() {
         java.util.Set<Long> seen = new java.util.HashSet<>();
-        for (int i = 0; i < 5 * Ground.NUMBERS; i++) {
-            assertThat(seen.add(a.number())).isTrue();
-            assertThat(seen.add(b.number())).isTrue();
+        for (int i = 0; i < 5 * ProcessResources.QUERY_NUMBER_BLOCK; i++) {
+            assertThat(seen.add(a.nextQueryNumber())).isTrue();
+            assertThat(seen.add(b.nextQueryNumber())).isTrue();
         }
         assertThat(seen).doesNotContain(0L);
     }
