--- a/coordinator/src/test/java/burlford/lanes/LeasesTest.java
+++ b/coordinator/src/test/java/burlford/lanes/LeasesTest.java
@@ -33,7 +33,7 @@
     @Property(tries = 2000)
     void everyOrderOfBorrowReturnDeathAndResizeKeepsTheSum(@ForAll("steps") List<Step> steps) {
         long total = 100;
-        Leases leases = new Leases(Cells.atomic(LANES + 1), LANES, total);
+        Leases leases = new Leases(AtomicLongs.padded(LANES + 1), LANES, total);
         List<java.util.ArrayDeque<Long>> taken = IntStream.range(0, LANES)
                 .mapToObj(i -> new java.util.ArrayDeque<Long>()).toList();
         for (Step s : steps) {
@@ -41,7 +41,7 @@
             long used = taken.stream().flatMap(java.util.Collection::stream).mapToLong(l -> l).sum();
             switch (s.kind()) {
                 case 0 -> {
-                    boolean got = leases.take(s.lane(), s.amount());
+                    boolean got = leases.tryAcquire(s.lane(), s.amount());
                     // Alone at work, it is given exactly where there is so much, wherever it lies.
                     assertThat(got).isEqualTo(used + s.amount() <= total || s.amount() == 0);
                     if (got) {
@@ -50,11 +50,11 @@
                 }
                 case 1 -> {
                     if (!mine.isEmpty()) {
-                        leases.give(s.lane(), mine.poll());
+                        leases.release(s.lane(), mine.poll());
                     }
                 }
                 case 2 -> {
-                    leases.give(s.lane(), mine.stream().mapToLong(l -> l).sum());
+                    leases.release(s.lane(), mine.stream().mapToLong(l -> l).sum());
                     mine.clear();
                     leases.reclaim(s.lane());
                 }
@@ -72,17 +72,17 @@
     /** Both take, give back, and take all: what is in use never passes the total, at any step of any order. */
     @Test
     void inEveryInterleavingNoMoreIsInUseThanThereIs() {
-        int orders = Interleavings.all(3, cells -> {
+        int orders = Interleavings.runAll(3, cells -> {
             Leases leases = new Leases(cells, 2, 3);
             AtomicLong used = new AtomicLong();
             Runnable[] lanes = new Runnable[2];
             for (int lane = 0; lane < 2; lane++) {
                 int me = lane;
                 lanes[lane] = () -> {
-                    if (leases.take(me, 2)) {
+                    if (leases.tryAcquire(me, 2)) {
                         assertThat(used.addAndGet(2)).isLessThanOrEqualTo(3);
                         used.addAndGet(-2);
-                        leases.give(me, 2);
+                        leases.release(me, 2);
                     }
                 };
             }
@@ -94,11 +94,11 @@
     /** One lane takes while another thread takes back what it holds unused: neither is doubled nor lost. */
     @Test
     void inEveryInterleavingAReclaimTakesOnlyWhatIsUnused() {
-        int orders = Interleavings.all(3, cells -> {
+        int orders = Interleavings.runAll(3, cells -> {
             Leases leases = new Leases(cells, 2, 40);
-            assertThat(leases.take(0, 1)).isTrue();
+            assertThat(leases.tryAcquire(0, 1)).isTrue();
             boolean[] got = new boolean[1];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.take(0, 2), () -> leases.reclaim(0)),
+            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(0, 2), () -> leases.reclaim(0)),
                     () -> {
                         assertThat(got[0]).isTrue();
                         assertThat(leases.unused()).isEqualTo(37);
@@ -110,17 +110,18 @@
     /** The total is cut while a lane takes: once both are done, nothing more is given out until enough came back. */
     @Test
     void inEveryInterleavingACutHoldsForWhatIsTakenAfterIt() {
-        Interleavings.all(3, cells -> {
+        Interleavings.runAll(3, cells -> {
             Leases leases = new Leases(cells, 2, 4);
-            assertThat(leases.take(0, 2)).isTrue();
+            assertThat(leases.tryAcquire(0, 2)).isTrue();
             boolean[] got = new boolean[1];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.take(1, 2), () -> leases.resize(4, 2)), () -> {
+            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(1, 2), () -> leases.resize(4, 2)),
+                    () -> {
                 long used = got[0] ? 4 : 2;
                 assertThat(leases.unused()).isEqualTo(2 - used);
-                assertThat(leases.take(0, 1)).isFalse();
-                assertThat(leases.take(1, 1)).isFalse();
-                leases.give(0, 2);
-                assertThat(leases.take(0, 1)).isEqualTo(used < 4);
+                assertThat(leases.tryAcquire(0, 1)).isFalse();
+                assertThat(leases.tryAcquire(1, 1)).isFalse();
+                leases.release(0, 2);
+                assertThat(leases.tryAcquire(0, 1)).isEqualTo(used < 4);
             });
         });
     }
@@ -129,11 +130,11 @@
     @Test
     void inEveryInterleavingTheLastIsGivenOnce() {
         int[] both = new int[3];
-        Interleavings.all(3, cells -> {
+        Interleavings.runAll(3, cells -> {
             Leases leases = new Leases(cells, 2, 1);
             boolean[] got = new boolean[2];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.take(0, 1), () -> got[1] = leases.take(1, 1)),
-                    () -> {
+            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(0, 1),
+                    () -> got[1] = leases.tryAcquire(1, 1)), () -> {
                         both[(got[0] ? 1 : 0) + (got[1] ? 1 : 0)]++;
                         assertThat(leases.unused()).isEqualTo(got[0] || got[1] ? 0 : 1);
                     });
--- a/coordinator/src/test/java/burlford/lanes/PlacementTest.java
+++ b/coordinator/src/test/java/burlford/lanes/PlacementTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlford.lanes.Placement.LaneLoad;
 import burlford.lanes.Placement.Move;
-import burlford.lanes.Placement.View;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -14,16 +14,16 @@
 
     private static final long LOOK = 250_000;
 
-    private static View lane(int lane, long open, long connections) {
-        return new View(lane, true, open, connections, 1000);
+    private static LaneLoad lane(int lane, long open, long connections) {
+        return new LaneLoad(lane, true, open, connections, 1000);
     }
 
     @Test
     void fewestOpenQueriesThenFewestConnections() {
         Placement p = new Placement(3, 1);
         assertThat(p.place(List.of(lane(0, 5, 1), lane(1, 2, 9), lane(2, 2, 8)))).isEqualTo(2);
-        assertThat(p.place(List.of(lane(0, 0, 1), new View(1, false, 0, 0, 0), lane(2, 2, 8)))).isZero();
-        assertThat(p.place(List.of(new View(0, false, 0, 0, 0)))).isEqualTo(-1);
+        assertThat(p.place(List.of(lane(0, 0, 1), new LaneLoad(1, false, 0, 0, 0), lane(2, 2, 8)))).isZero();
+        assertThat(p.place(List.of(new LaneLoad(0, false, 0, 0, 0)))).isEqualTo(-1);
     }
 
     @Test
@@ -48,10 +48,10 @@
     @Test
     void movesOnlyAfterSeveralLooksAndThenLeavesBothAlone() {
         Placement p = new Placement(2, 1);
-        List<View> uneven = List.of(lane(0, 60, 40), lane(1, 2, 10));
+        List<LaneLoad> uneven = List.of(lane(0, 60, 40), lane(1, 2, 10));
         List<Integer> movedAt = new ArrayList<>();
         for (int look = 0; look < 40; look++) {
-            List<Move> moves = p.look(look * LOOK, uneven);
+            List<Move> moves = p.rebalance(look * LOOK, uneven);
             for (Move m : moves) {
                 assertThat(m.from()).isZero();
                 assertThat(m.to()).isEqualTo(1);
@@ -59,9 +59,9 @@
                 movedAt.add(look);
             }
         }
-        assertThat(movedAt.get(0)).isGreaterThanOrEqualTo(Placement.LOOKS - 1);
+        assertThat(movedAt.get(0)).isGreaterThanOrEqualTo(Placement.CHECKS_UNTIL_OVERLOADED - 1);
         for (int i = 1; i < movedAt.size(); i++) {
-            assertThat((movedAt.get(i) - movedAt.get(i - 1)) * LOOK).isGreaterThanOrEqualTo(Placement.SETTLE);
+            assertThat((movedAt.get(i) - movedAt.get(i - 1)) * LOOK).isGreaterThanOrEqualTo(Placement.MOVE_COOLDOWN_US);
         }
     }
 
@@ -70,7 +70,7 @@
         Placement p = new Placement(2, 1);
         for (int look = 0; look < 200; look++) {
             boolean peak = look % 8 < 1;
-            assertThat(p.look(look * LOOK, List.of(lane(0, peak ? 40 : 5, 40), lane(1, 6, 10)))).isEmpty();
+            assertThat(p.rebalance(look * LOOK, List.of(lane(0, peak ? 40 : 5, 40), lane(1, 6, 10)))).isEmpty();
         }
     }
 
@@ -79,7 +79,8 @@
         Placement p = new Placement(2, 1);
         List<Move> moves = new ArrayList<>();
         for (int look = 0; look < 8; look++) {
-            moves.addAll(p.look(look * LOOK, List.of(new View(0, true, 5, 8, 120_000), new View(1, true, 5, 8, 500))));
+            moves.addAll(p.rebalance(look * LOOK, List.of(new LaneLoad(0, true, 5, 8, 120_000), new LaneLoad(1, true, 5,
+                    8, 500))));
         }
         assertThat(moves).hasSize(1);
         assertThat(moves.get(0).from()).isZero();
@@ -96,23 +97,23 @@
         }
         int moves = 0;
         for (int look = 0; look < 400; look++) {
-            List<View> views = views(connections);
-            for (Move m : p.look(look * LOOK, views)) {
+            List<LaneLoad> views = views(connections);
+            for (Move m : p.rebalance(look * LOOK, views)) {
                 moves++;
                 connections.stream().filter(c -> c[0] == m.from()).limit(m.connections()).forEach(c -> c[0] = m.to());
             }
             connections.remove(random.nextInt(connections.size()));
             connections.add(new int[] {p.place(views(connections)), 1 + random.nextInt(3)});
         }
-        long[] open = views(connections).stream().mapToLong(View::open).toArray();
+        long[] open = views(connections).stream().mapToLong(LaneLoad::openUnits).toArray();
         long most = java.util.Arrays.stream(open).max().getAsLong();
         long mean = java.util.Arrays.stream(open).sum() / 4;
         assertThat(most).isLessThanOrEqualTo(mean * 3 / 2 + 5);
         assertThat(moves).isBetween(1, 40);
     }
 
-    private static List<View> views(List<int[]> connections) {
-        List<View> views = new ArrayList<>();
+    private static List<LaneLoad> views(List<int[]> connections) {
+        List<LaneLoad> views = new ArrayList<>();
         for (int lane = 0; lane < 4; lane++) {
             int l = lane;
             views.add(lane(lane, connections.stream().filter(c -> c[0] == l).mapToLong(c -> c[1]).sum(),
--- a/coordinator/src/test/java/burlford/net/AcceptErrorsTest.java
+++ b/coordinator/src/test/java/burlford/net/AcceptErrorsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -31,7 +31,7 @@
     private static final long REAL_PATIENCE_NS = 20_000_000_000L;
 
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Deadlines deadlines = new Deadlines();
+    private final Timers deadlines = new Timers();
     private long now;
     private int failures;
     private int accepts;
@@ -64,7 +64,7 @@
                 });
         listener = bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         until(listener::isDone);
-        AcceptErrors.Scheduler scheduler = (wait, action) -> deadlines.at(now + wait, action);
+        AcceptErrors.Scheduler scheduler = (wait, action) -> deadlines.schedule(now + wait, action);
         listener.channel().pipeline().addFirst(new AcceptErrors(scheduler, () -> errors++, () -> shortages++));
     }
 
@@ -96,7 +96,7 @@
             assertThat(client.isConnected()).isTrue();
             until(() -> accepts > 0);
             for (long end = now + NO_PAUSE; now < end; now += STEP) {
-                deadlines.sweep(now);
+                deadlines.runDue(now);
                 loop.runNow();
             }
             assertThat(served).isEqualTo(1);
@@ -113,13 +113,13 @@
             assertThat(client.isConnected()).isTrue();
             until(() -> accepts > 0);
             for (long end = now + SECOND; now < end; now += STEP) {
-                deadlines.sweep(now);
+                deadlines.runDue(now);
                 loop.runNow();
             }
             assertThat(accepts).isLessThan(MOST_ACCEPTS_A_SECOND);
             failures = 0;
             for (long end = now + NO_PAUSE; now < end; now += STEP) {
-                deadlines.sweep(now);
+                deadlines.runDue(now);
                 loop.runNow();
             }
             assertThat(served).isEqualTo(1);
--- a/coordinator/src/test/java/burlford/play/Audit.java
+++ b/coordinator/src/test/java/burlford/play/Audit.java
@@ -20,7 +20,7 @@
     record Request(String id, Effect effect, long sentAt, int deadlineMs) { }
 
     /** How a request ended. */
-    record Ending(Request request, SoakClient.End end, long at, String body) { }
+    record CompletedRequest(Request request, SoakClient.Outcome outcome, long endedAt, String body) { }
 
     /** A frame with a part that reached a reader. */
     static final class Attempt {
@@ -72,7 +72,7 @@
     private static final long FALL_NS = 1_000 * MS;
 
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
-    private final List<Ending> endings = new CopyOnWriteArrayList<>();
+    private final List<CompletedRequest> endings = new CopyOnWriteArrayList<>();
     private final Map<String, List<Attempt>> attempts = new ConcurrentHashMap<>();
     /** By reader: since when it takes nothing new, as discovery has written to the coordinator. */
     private final Map<String, Long> drainingSince = new ConcurrentHashMap<>();
@@ -92,32 +92,32 @@
     }
 
     /** Further attempts within any window: so many, and so many for each request of that window. */
-    void limitExtras(int most, double share) {
+    void limitFurtherAttempts(int most, double share) {
         mostExtras = most;
         extraShare = share;
     }
 
-    void paused(long from, long to) {
+    void recordPause(long from, long to) {
         pauses.add(new Pause(from, to));
     }
 
-    void notifiedOfStart(String reader) {
+    void recordRestartNotified(String reader) {
         startedAt.putIfAbsent(reader, System.nanoTime());
     }
 
-    void sent(Request request) {
+    void recordRequest(Request request) {
         requests.put(request.id(), request);
     }
 
-    void ended(Ending ending) {
+    void recordCompletion(CompletedRequest ending) {
         endings.add(ending);
     }
 
-    List<Ending> endings() {
+    List<CompletedRequest> completedRequests() {
         return endings;
     }
 
-    Attempt arrived(String part, String reader, long timeLeftMs) {
+    Attempt recordArrival(String part, String reader, long timeLeftMs) {
         Attempt attempt = new Attempt(part, reader, System.nanoTime(), timeLeftMs);
         attempts.computeIfAbsent(part, p -> new CopyOnWriteArrayList<>()).add(attempt);
         return attempt;
@@ -131,7 +131,7 @@
     }
 
     /** Discovery has told that the reader drains. */
-    void notifiedOfDrain(String reader) {
+    void recordDrainNotified(String reader) {
         drainingSince.putIfAbsent(reader, System.nanoTime());
     }
 
@@ -153,31 +153,32 @@
         return broken;
     }
 
-    private void checkAnswer(Ending e, List<String> broken) {
+    private void checkAnswer(CompletedRequest e, List<String> broken) {
         List<Attempt> forwarded = attemptsOf(e.request().id());
-        long late = (e.at() - e.request().sentAt()) / MS - e.request().deadlineMs();
-        if (e.end() == SoakClient.End.TIMED_OUT || e.end() != SoakClient.End.LEFT && e.end() != SoakClient.End.CLOSED
-                && late > LATE_ANSWER_MS + TOLERANCE_MS) {
+        long late = (e.endedAt() - e.request().sentAt()) / MS - e.request().deadlineMs();
+        if (e.outcome() == SoakClient.Outcome.TIMED_OUT || e.outcome() != SoakClient.Outcome.LEFT
+                && e.outcome() != SoakClient.Outcome.CLOSED && late > LATE_ANSWER_MS + TOLERANCE_MS) {
             broken.add("lost: no answer in time: " + e);
-        } else if (e.end() == SoakClient.End.CLOSED && !forwarded.isEmpty()) {
+        } else if (e.outcome() == SoakClient.Outcome.CLOSED && !forwarded.isEmpty()) {
             broken.add("lost: closed without an answer: " + e);
-        } else if (e.end() == SoakClient.End.FAILED && e.body().contains("409 Conflict")) {
+        } else if (e.outcome() == SoakClient.Outcome.FAILED && e.body().contains("409 Conflict")) {
             broken.add("in conflict with itself: " + e);
-        } else if (e.end() == SoakClient.End.ANSWERED && !(e.body().contains(SoakReader.value(e.request().id() + ".0"))
+        } else if (e.outcome() == SoakClient.Outcome.ANSWERED
+                && !(e.body().contains(SoakReader.value(e.request().id() + ".0"))
                 && e.body().contains(SoakReader.value(e.request().id() + ".1")))) {
             broken.add("partial: answered with other values: " + e);
-        } else if (e.end() == SoakClient.End.REFUSED && e.request().effect() == Effect.FRAGILE
+        } else if (e.outcome() == SoakClient.Outcome.REFUSED && e.request().effect() == Effect.FRAGILE
                 && forwarded.stream().anyMatch(a -> !a.neverRan)) {
             broken.add("duplicate: refused what may have run: " + e);
         }
-        forwarded.stream().filter(a -> (a.arrivedAt - e.at()) / MS > LATE_ATTEMPT_MS + TOLERANCE_MS)
+        forwarded.stream().filter(a -> (a.arrivedAt - e.endedAt()) / MS > LATE_ATTEMPT_MS + TOLERANCE_MS)
                 .filter(a -> !tookThePauseOf(a, e.request()))
                 .forEach(a -> broken.add("lost: sent after its end: " + a + ", " + e));
     }
 
     /**
-     * Whether a pause longer than the rules reckon with came between the last look and the write. The time that the frame
-     * tells shows when it was made: before the pause. One thread writes, so a pause can hold up one frame only.
+     * Whether a pause longer than the rules reckon with came between the last look and the write. The time that the
+     * frame tells shows when it was made: before the pause. One thread writes, so a pause can hold up one frame only.
      */
     private boolean tookThePauseOf(Attempt a, Request request) {
         long madeAt = request.sentAt() + (request.deadlineMs() - ON_THE_WAY_MS - a.timeLeftMs - 1) * MS;
@@ -204,7 +205,8 @@
         List<Long> extras = attempts.values().stream().flatMap(all -> all.stream().skip(1)).map(a -> a.arrivedAt)
                 .sorted().toList();
         for (long at : extras) {
-            long count = extras.stream().filter(e -> e <= at && (at - e) / MS < BUDGET_WINDOW_MS - TOLERANCE_MS).count();
+            long count = extras.stream().filter(e -> e <= at && (at - e) / MS < BUDGET_WINDOW_MS - TOLERANCE_MS)
+                    .count();
             long taken = requests.values().stream().map(Request::sentAt)
                     .filter(r -> r <= at && (at - r) / MS < BUDGET_WINDOW_MS + TOLERANCE_MS).count();
             // The wire counts a query and each of its parts.
--- a/coordinator/src/test/java/burlford/play/Program.java
+++ b/coordinator/src/test/java/burlford/play/CoordinatorProcess.java
@@ -16,10 +16,10 @@
 import java.util.regex.Pattern;
 
 /** The program in a process of its own, and what it prints. */
-public final class Program implements AutoCloseable {
+public final class CoordinatorProcess implements AutoCloseable {
 
     /** Longer than anything takes; only a test that fails waits so long. */
-    static final long PATIENCE_MS = 20_000;
+    static final long TIMEOUT_MS = 20_000;
 
     private final Process process;
     private final StringBuilder err = new StringBuilder();
@@ -27,12 +27,12 @@
     private final List<Thread> readers = new ArrayList<>();
     private Path file;
 
-    public Program(Map<String, String> environment, String... args) throws IOException {
+    public CoordinatorProcess(Map<String, String> environment, String... args) throws IOException {
         this(0, environment, args);
     }
 
     /** descriptors: the limit that the system sets the process; 0: none of its own. */
-    private Program(int descriptors, Map<String, String> environment, String... args) throws IOException {
+    private CoordinatorProcess(int descriptors, Map<String, String> environment, String... args) throws IOException {
         List<String> command = new ArrayList<>();
         if (descriptors > 0) {
             command.addAll(List.of("sh", "-c", "ulimit -n " + descriptors + "; exec \"$0\" \"$@\""));
@@ -49,22 +49,22 @@
     }
 
     /** Serves with this configuration, and the operator's file if there is one. */
-    public static Program serve(ObjectNode configuration, String operator) throws IOException {
-        Path file = temporary(".json", new ObjectMapper().writeValueAsString(configuration));
+    public static CoordinatorProcess serve(ObjectNode configuration, String operator) throws IOException {
+        Path file = temporaryFile(".json", new ObjectMapper().writeValueAsString(configuration));
         String[] args = operator == null ? new String[] {"serve"}
-                : new String[] {"serve", "--operator", temporary(".yaml", operator).toString()};
-        Program program = new Program(Map.of("PROXY_CONFIG", file.toString()), args);
+                : new String[] {"serve", "--operator", temporaryFile(".yaml", operator).toString()};
+        CoordinatorProcess program = new CoordinatorProcess(Map.of("PROXY_CONFIG", file.toString()), args);
         program.file = file;
         return program;
     }
 
     /** Serves with this configuration under a limit of descriptors. */
-    static Program serveWithin(int descriptors, ObjectNode configuration) throws IOException {
-        Path file = temporary(".json", new ObjectMapper().writeValueAsString(configuration));
-        return new Program(descriptors, Map.of("PROXY_CONFIG", file.toString()), "serve");
+    static CoordinatorProcess serveWithDescriptorLimit(int descriptors, ObjectNode configuration) throws IOException {
+        Path file = temporaryFile(".json", new ObjectMapper().writeValueAsString(configuration));
+        return new CoordinatorProcess(descriptors, Map.of("PROXY_CONFIG", file.toString()), "serve");
     }
 
-    static Path temporary(String ending, String text) throws IOException {
+    static Path temporaryFile(String ending, String text) throws IOException {
         Path file = Files.createTempFile("burlford", ending);
         file.toFile().deleteOnExit();
         return Files.writeString(file, text);
@@ -91,7 +91,7 @@
 
     /** Waits until the log matches, and gives the first group. */
     public synchronized String awaitLog(String regex) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         Pattern pattern = Pattern.compile(regex);
         for (Matcher m = pattern.matcher(err); ; m = pattern.matcher(err)) {
             if (m.find()) {
@@ -110,7 +110,7 @@
     }
 
     /** Writes its configuration file anew. */
-    void configure(ObjectNode configuration) throws IOException {
+    void writeConfiguration(ObjectNode configuration) throws IOException {
         Files.writeString(file, new ObjectMapper().writeValueAsString(configuration));
     }
 
@@ -126,12 +126,12 @@
         process.toHandle().destroy(); // unlike Process.destroy, leaves its streams open
     }
 
-    public int exit() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+    public int awaitExit() throws InterruptedException {
+        if (!process.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the program still runs:\n" + err);
         }
         for (Thread t : readers) {
-            t.join(PATIENCE_MS);
+            t.join(TIMEOUT_MS);
         }
         return process.exitValue();
     }
--- a/coordinator/src/test/java/burlford/play/DescriptorShortageTest.java
+++ b/coordinator/src/test/java/burlford/play/DescriptorShortageTest.java
@@ -27,7 +27,7 @@
         List<SoakReader> readers = List.of(new SoakReader("s0", 1, timer, audit),
                 new SoakReader("s1", 2, timer, audit), new SoakReader("s2", 3, timer, audit));
         List<Socket> idle = new ArrayList<>();
-        try (Program program = Program.serveWithin(DESCRIPTORS,
+        try (CoordinatorProcess program = CoordinatorProcess.serveWithDescriptorLimit(DESCRIPTORS,
                 FaultSoakTest.configuration(readers, DEADLINE_MS, false))) {
             int port = program.port("platform");
             loadClasses(port);
@@ -37,26 +37,28 @@
             SoakClient client = new SoakClient(port, "c", DEADLINE_MS, 1, audit);
             Thread thread = new Thread(client);
             thread.start();
-            long limit = System.nanoTime() + Program.PATIENCE_MS * 1_000_000;
-            while (audit.endings().size() < REQUESTS && System.nanoTime() < limit) {
+            long limit = System.nanoTime() + CoordinatorProcess.TIMEOUT_MS * 1_000_000;
+            while (audit.completedRequests().size() < REQUESTS && System.nanoTime() < limit) {
                 Thread.sleep(1);
             }
             client.stop();
             thread.join();
-            assertThat(audit.endings()).as(program.log()).hasSizeGreaterThanOrEqualTo(REQUESTS);
+            assertThat(audit.completedRequests()).as(program.log()).hasSizeGreaterThanOrEqualTo(REQUESTS);
             assertThat(program.log()).contains("Too many open files");
         } finally {
             timer.shutdownNow();
             close(readers, idle);
         }
         assertThat(audit.violations()).isEmpty();
-        assertThat(audit.endings().get(0).end()).isNotEqualTo(SoakClient.End.TIMED_OUT);
+        assertThat(audit.completedRequests().get(0).outcome()).isNotEqualTo(SoakClient.Outcome.TIMED_OUT);
     }
 
-    /** Here each class is a file of its own, which could not be opened later; in the jar all are open from the start. */
+    /**
+     * Here each class is a file of its own, which could not be opened later; in the jar all are open from the start.
+     */
     private static void loadClasses(int port) throws IOException {
         String body = "{\"parts\":[{\"id\":0}],\"expr\":\"e\"}";
-        try (Peer closing = new Peer(port)) {
+        try (ScriptedEndpoint closing = new ScriptedEndpoint(port)) {
             closing.send("POST /api/a HTTP/1.1\r\nReq-Id: warm\r\nReq-Kind: car-lookup\r\nReq-Owner: duna-cab\r\n"
                     + "Req-Deadline-Ms: " + DEADLINE_MS + "\r\nConnection: close\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
--- a/coordinator/src/test/java/burlford/play/FaultPlan.java
+++ b/coordinator/src/test/java/burlford/play/FaultPlan.java
@@ -7,17 +7,18 @@
 /**
  * The faults of one run, drawn by its seed; each may come with any other.
  *
- * @param pauses how often the process stands still
+ * @param pauseCount how often the process stands still
  * @param pauseMs for how long each time
  * @param hang a reader answers nothing for a while
  * @param hangAtEnd it answers nothing again through the shutdown
  * @param drain another one drains
  * @param restart a third one starts anew
- * @param budget further attempts are limited
+ * @param limitsFurtherAttempts further attempts are limited
  * @param signals what the process is told, in this order, at the end
  */
-record FaultPlan(int seed, int deadlineMs, boolean crowd, int pauses, int pauseMs, boolean hang,
-        boolean hangAtEnd, boolean drain, boolean restart, boolean budget, boolean probing, List<String> signals) {
+record FaultPlan(int seed, int deadlineMs, boolean socketsScarce, int pauseCount, int pauseMs, boolean hang,
+        boolean hangAtEnd, boolean drain, boolean restart, boolean limitsFurtherAttempts, boolean probing,
+        List<String> signals) {
 
     private static final int[] DEADLINES_MS = {250, 300, 600, 1500};
     private static final List<List<String>> SIGNALS = List.of(List.of("TERM"), List.of("HUP", "TERM"),
@@ -29,7 +30,7 @@
     /** Behind the last fault, for the process to serve again. */
     private static final int QUIET_MS = 700;
 
-    static FaultPlan draw(int seed) {
+    static FaultPlan fromSeed(int seed) {
         SplittableRandom random = new SplittableRandom(seed * 7919L);
         return new FaultPlan(seed, DEADLINES_MS[random.nextInt(DEADLINES_MS.length)], random.nextInt(4) == 0,
                 random.nextInt(MOST_PAUSES + 1), random.nextInt(SHORTEST_PAUSE_MS, LONGEST_PAUSE_MS),
@@ -38,15 +39,15 @@
     }
 
     /** One without faults but those that readers and clients draw themselves. */
-    static FaultPlan quiet(int deadlineMs, boolean crowd) {
+    static FaultPlan withoutInjectedFaults(int deadlineMs, boolean crowd) {
         return new FaultPlan(0, deadlineMs, crowd, 0, 0, false, false, false, false, false, false, List.of("TERM"));
     }
 
     /** Plays all but the signals, one fault after the other in an order of the seed's. onQuiet: run behind the last. */
-    void play(Program program, List<SoakReader> readers, SoakDiscovery discovery, Audit audit,
+    void injectFaults(CoordinatorProcess program, List<SoakReader> readers, SoakDiscovery discovery, Audit audit,
             Runnable onQuiet) throws Exception {
         List<Fault> faults = new ArrayList<>();
-        for (int i = 0; i < pauses; i++) {
+        for (int i = 0; i < pauseCount; i++) {
             faults.add(() -> pause(program, audit));
         }
         if (hang) {
@@ -61,7 +62,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         while (!faults.isEmpty()) {
             Thread.sleep(random.nextInt(STEP_MS));
-            faults.remove(random.nextInt(faults.size())).play();
+            faults.remove(random.nextInt(faults.size())).inject();
         }
         readers.get(0).resume();
         onQuiet.run();
@@ -71,16 +72,16 @@
         }
     }
 
-    private void pause(Program program, Audit audit) throws Exception {
+    private void pause(CoordinatorProcess program, Audit audit) throws Exception {
         program.signal("STOP");
         long from = System.nanoTime();
         Thread.sleep(pauseMs);
         long to = System.nanoTime();
         program.signal("CONT");
-        audit.paused(from, to);
+        audit.recordPause(from, to);
     }
 
     private interface Fault {
-        void play() throws Exception;
+        void inject() throws Exception;
     }
 }
--- a/coordinator/src/test/java/burlford/play/FaultSoakTest.java
+++ b/coordinator/src/test/java/burlford/play/FaultSoakTest.java
@@ -41,7 +41,7 @@
     void noRuleIsBrokenUnderFaults() throws Exception {
         List<String> broken = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + SEEDS; seed++) {
-            FaultPlan plan = FaultPlan.draw(seed);
+            FaultPlan plan = FaultPlan.fromSeed(seed);
             run(plan, new SplittableRandom(seed)).forEach(line -> broken.add(plan + ": " + line));
         }
         assertThat(broken).isEmpty();
@@ -49,8 +49,8 @@
 
     private static List<String> run(FaultPlan plan, SplittableRandom random) throws Exception {
         Audit audit = new Audit(plan.deadlineMs(), DRAIN_GRACE_MS);
-        if (plan.budget()) {
-            audit.limitExtras(MOST_EXTRA, EXTRA_SHARE);
+        if (plan.limitsFurtherAttempts()) {
+            audit.limitFurtherAttempts(MOST_EXTRA, EXTRA_SHARE);
         }
         ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
         List<SoakReader> readers = new ArrayList<>();
@@ -59,22 +59,22 @@
         }
         List<Socket> idle = new ArrayList<>();
         SoakDiscovery discovery = new SoakDiscovery(readers, audit);
-        try (Program program = Program.serve(configuration(readers, discovery, plan), null)) {
+        try (CoordinatorProcess program = CoordinatorProcess.serve(configuration(readers, discovery, plan), null)) {
             int port = program.port("platform");
-            for (int i = 0; plan.crowd() && i < IDLE_CLIENTS; i++) {
+            for (int i = 0; plan.socketsScarce() && i < IDLE_CLIENTS; i++) {
                 idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
             List<SoakClient> clients = new ArrayList<>();
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 SoakClient client = new SoakClient(port, "c" + i, plan.deadlineMs(), random.nextLong(), audit);
-                client.leaveAtDeadline(plan.pauses() > 0);
+                client.leaveAtDeadline(plan.pauseCount() > 0);
                 clients.add(client);
                 threads.add(new Thread(client));
             }
             threads.forEach(Thread::start);
             // Behind the pauses every request is owed an answer in time again, through the shutdown.
-            plan.play(program, readers, discovery, audit,
+            plan.injectFaults(program, readers, discovery, audit,
                     () -> clients.forEach(client -> client.leaveAtDeadline(false)));
             signalAndKill(program, plan);
             clients.forEach(SoakClient::stop);
@@ -91,11 +91,12 @@
                 s.close();
             }
         }
-        assertThat(audit.endings()).as(plan.toString()).anyMatch(e -> e.end() == SoakClient.End.ANSWERED);
+        assertThat(audit.completedRequests()).as(plan.toString())
+                .anyMatch(e -> e.outcome() == SoakClient.Outcome.ANSWERED);
         return audit.violations();
     }
 
-    private static void signalAndKill(Program program, FaultPlan plan) throws Exception {
+    private static void signalAndKill(CoordinatorProcess program, FaultPlan plan) throws Exception {
         long told = 0;
         for (String signal : plan.signals()) {
             program.signal(signal);
@@ -110,7 +111,7 @@
 
     /** One with these faultless or faulty readers and no discovery. */
     static ObjectNode configuration(List<SoakReader> readers, int deadlineMs, boolean crowd) throws IOException {
-        return configuration(readers, null, FaultPlan.quiet(deadlineMs, crowd));
+        return configuration(readers, null, FaultPlan.withoutInjectedFaults(deadlineMs, crowd));
     }
 
     private static ObjectNode configuration(List<SoakReader> readers, SoakDiscovery discovery, FaultPlan plan)
@@ -135,10 +136,11 @@
                 .put("memorySpan", plan.deadlineMs() * 1000);
         ObjectNode rules = (ObjectNode) configuration.at("/settings/rules");
         rules.put("stopSendingWithin", DRAIN_GRACE_MS * 1000);
-        if (plan.budget()) {
-            rules.put("minExtra", MOST_EXTRA).put("resendRatio", EXTRA_SHARE).put("lookBack", Audit.BUDGET_WINDOW_MS * 1000);
+        if (plan.limitsFurtherAttempts()) {
+            rules.put("minExtra", MOST_EXTRA).put("resendRatio", EXTRA_SHARE).put("lookBack",
+                    Audit.BUDGET_WINDOW_MS * 1000);
         }
-        if (plan.crowd()) {
+        if (plan.socketsScarce()) {
             ((ObjectNode) configuration.get("limits")).put("sockets", FEW_DESCRIPTORS);
         }
         return configuration;
--- a/coordinator/src/test/java/burlford/play/BothFrontsTest.java
+++ b/coordinator/src/test/java/burlford/play/FrontParityTest.java
@@ -28,7 +28,7 @@
  * Both dialects, identical loads and failures: the same counts of answers, refusals and failures, and the same
  * attempts at the readers. The stand-in readers do to each part what its query's text says.
  */
-class BothFrontsTest {
+class FrontParityTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     /** For the part of shard 0; the other shard always answers. */
@@ -36,12 +36,12 @@
             "once-full", "once-break", "partial");
 
     /** What came back, what the readers saw, and what the program counted of queries and attempts made. */
-    private record Seen(Map<String, Integer> ends, Map<String, Integer> attempts, List<String> counted) { }
+    private record RunResult(Map<String, Integer> ends, Map<String, Integer> attempts, List<String> counted) { }
 
     @Test
     void yieldTheSameCounts() throws Exception {
         for (String kind : List.of("car-lookup", "billing")) {
-            Seen platform = run(kind, false);
+            RunResult platform = run(kind, false);
             assertThat(run(kind, true)).as(kind).isEqualTo(platform);
             // billing may not run twice: part 1 has run, so that nothing of it may be refused.
             assertThat(platform.ends()).isEqualTo(kind.equals("car-lookup")
@@ -52,10 +52,10 @@
         }
     }
 
-    private Seen run(String kind, boolean search) throws Exception {
+    private RunResult run(String kind, boolean search) throws Exception {
         Map<String, Integer> attempts = new ConcurrentHashMap<>();
         ObjectNode configuration;
-        try (InputStream in = BothFrontsTest.class.getResourceAsStream("/configuration.json")) {
+        try (InputStream in = FrontParityTest.class.getResourceAsStream("/configuration.json")) {
             configuration = (ObjectNode) JSON.readTree(in);
         }
         List<ServerSocket> readers = new ArrayList<>();
@@ -67,12 +67,12 @@
             inventory.append("s" + cell + ",127.0.0.1," + reader.getLocalPort() + "," + cell + "\n");
         }
         configuration.remove("discovery");
-        String operator = "inventory: " + Program.temporary(".csv", inventory.toString()) + "\n"
+        String operator = "inventory: " + CoordinatorProcess.temporaryFile(".csv", inventory.toString()) + "\n"
                 + "search: {listen: '127.0.0.1:0', indices: {i: {class: " + kind
                 + ", tenant: duna-cab, key: routing, shards: [0, 1], deadline_ms: 2000}}}\n";
         Map<String, Integer> ends = new TreeMap<>();
         List<String> counted;
-        try (Program program = Program.serve(configuration, operator)) {
+        try (CoordinatorProcess program = CoordinatorProcess.serve(configuration, operator)) {
             int port = program.port(search ? "search" : "platform");
             HttpClient client = HttpClient.newHttpClient();
             for (int i = 0; i < LOAD.size(); i++) {
@@ -82,7 +82,7 @@
                 ends.merge(end(r, search), 1, Integer::sum);
             }
             program.terminate();
-            assertThat(program.exit()).isZero();
+            assertThat(program.awaitExit()).isZero();
             // How an attempt ends beside one that ends its query is a race; how many were made is not.
             counted = program.out().lines().filter(l -> l.matches("(queries|attempts\\.(first|further)).*")).toList();
         } finally {
@@ -90,7 +90,7 @@
                 s.close();
             }
         }
-        return new Seen(ends, new TreeMap<>(attempts), counted);
+        return new RunResult(ends, new TreeMap<>(attempts), counted);
     }
 
     private static HttpRequest platform(int port, String kind, String text) {
@@ -102,8 +102,8 @@
     }
 
     private static HttpRequest search(int port, String text) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/i/_search?routing=" + text + "&q=" + text
-                + (text.startsWith("partial") ? "&allow_partial_search_results=true" : ""))).build();
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/i/_search?routing=" + text + "&q="
+                + text + (text.startsWith("partial") ? "&allow_partial_search_results=true" : ""))).build();
     }
 
     private static String end(HttpResponse<String> r, boolean search) throws IOException {
--- a/coordinator/src/test/java/burlford/play/PausedProcessTest.java
+++ b/coordinator/src/test/java/burlford/play/PausedProcessTest.java
@@ -35,7 +35,7 @@
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
     private final List<SoakReader> readers = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
-    private Program program;
+    private CoordinatorProcess program;
     private int port;
 
     @BeforeEach
@@ -44,7 +44,7 @@
             readers.add(SoakReader.faultless("s" + i, timer, audit));
         }
         ObjectNode configuration = FaultSoakTest.configuration(readers, LONG_DEADLINE_MS, false);
-        program = Program.serve(configuration, null);
+        program = CoordinatorProcess.serve(configuration, null);
         port = program.port("platform");
     }
 
@@ -71,7 +71,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             connect();
             SoakClient.write(clients.get(i), "warm-" + i, LONG_DEADLINE_MS, Audit.Effect.RETRYABLE);
-            assertThat(SoakClient.read(clients.get(i)).end()).isEqualTo(SoakClient.End.ANSWERED);
+            assertThat(SoakClient.read(clients.get(i)).outcome()).isEqualTo(SoakClient.Outcome.ANSWERED);
         }
     }
 
@@ -97,7 +97,7 @@
             Socket after = new Socket(InetAddress.getLoopbackAddress(), port);
             clients.add(after);
             SoakClient.write(after, "after-" + i, LONG_DEADLINE_MS, Audit.Effect.RETRYABLE);
-            assertThat(SoakClient.read(after).end()).isEqualTo(SoakClient.End.ANSWERED);
+            assertThat(SoakClient.read(after).outcome()).isEqualTo(SoakClient.Outcome.ANSWERED);
         }
         for (int i = 0; i < CLIENTS; i++) {
             assertThat(audit.attemptsOf("q" + i)).as(program.log()).isEmpty();
--- a/coordinator/src/test/java/burlford/play/Peer.java
+++ b/coordinator/src/test/java/burlford/play/ScriptedEndpoint.java
@@ -14,7 +14,7 @@
 import java.util.regex.Pattern;
 
 /** One side of a recorded exchange: a client, or a stand-in that is connected to. Bytes are ISO 8859-1 text. */
-final class Peer implements AutoCloseable {
+final class ScriptedEndpoint implements AutoCloseable {
 
     private final ServerSocket listener;
     private Socket socket;
@@ -23,13 +23,13 @@
     private final ByteArrayOutputStream unread = new ByteArrayOutputStream();
 
     /** A stand-in on a port of its own. */
-    Peer() throws IOException {
+    ScriptedEndpoint() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        listener.setSoTimeout((int) Program.PATIENCE_MS);
+        listener.setSoTimeout((int) CoordinatorProcess.TIMEOUT_MS);
     }
 
     /** A client. */
-    Peer(int port) throws IOException {
+    ScriptedEndpoint(int port) throws IOException {
         listener = null;
         connected(new Socket(InetAddress.getLoopbackAddress(), port));
     }
@@ -42,11 +42,11 @@
         if (socket != null) {
             socket.close();
         }
-        also();
+        acceptAnother();
     }
 
     /** Takes the next connection and leaves the one before as it is. */
-    void also() throws IOException {
+    void acceptAnother() throws IOException {
         unread.reset();
         left.add(socket);
         connected(listener.accept());
@@ -55,7 +55,7 @@
     private void connected(Socket s) throws IOException {
         socket = s;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout((int) Program.PATIENCE_MS);
+        socket.setSoTimeout((int) CoordinatorProcess.TIMEOUT_MS);
     }
 
     private Socket socket() throws IOException {
@@ -96,7 +96,7 @@
     }
 
     /** The other side has closed, and said nothing more. */
-    void expectEnd() throws IOException {
+    void expectClose() throws IOException {
         int b;
         try {
             b = socket().getInputStream().read();
@@ -108,16 +108,16 @@
         }
     }
 
-    void end() throws IOException {
+    void closeConnection() throws IOException {
         socket().close();
         socket = null;
         unread.reset();
     }
 
     /** Closes so that the other side is told of a broken connection. */
-    void reset() throws IOException {
+    void resetConnection() throws IOException {
         socket().setSoLinger(true, 0);
-        end();
+        closeConnection();
     }
 
     @Override
--- a/coordinator/src/test/java/burlford/play/SoakClient.java
+++ b/coordinator/src/test/java/burlford/play/SoakClient.java
@@ -13,10 +13,10 @@
 final class SoakClient implements Runnable {
 
     /** How a request ended, as its client saw it. */
-    enum End { ANSWERED, REFUSED, FAILED, CLOSED, TIMED_OUT, LEFT }
+    enum Outcome { ANSWERED, REFUSED, FAILED, CLOSED, TIMED_OUT, LEFT }
 
     /** How a request ended and what its connection gave. */
-    record Reply(End end, String text) { }
+    record Reply(Outcome outcome, String text) { }
 
     /** Classes of the configuration by the effect that a second attempt has. */
     static final Map<Audit.Effect, String> CLASSES = Map.of(Audit.Effect.RETRYABLE, "car-lookup", Audit.Effect.DEDUP,
@@ -79,7 +79,7 @@
     private boolean ask(Socket socket, String id) throws IOException {
         Audit.Effect effect = Audit.Effect.values()[random.nextInt(Audit.Effect.values().length)];
         Audit.Request request = new Audit.Request(id, effect, System.nanoTime(), deadlineMs);
-        audit.sent(request);
+        audit.recordRequest(request);
         boolean leavesEarly = random.nextDouble() < LEAVES;
         boolean leaves = leavesEarly || leavesAtDeadline;
         socket.setSoTimeout(leavesEarly ? 1 + random.nextInt(deadlineMs) : deadlineMs + (leaves ? 0 : GRACE_MS));
@@ -88,13 +88,13 @@
             write(socket, id, deadlineMs, effect);
             reply = read(socket);
         } catch (SocketTimeoutException e) {
-            reply = new Reply(leaves ? End.LEFT : End.TIMED_OUT, "");
+            reply = new Reply(leaves ? Outcome.LEFT : Outcome.TIMED_OUT, "");
         } catch (IOException e) {
-            reply = new Reply(End.CLOSED, "");
+            reply = new Reply(Outcome.CLOSED, "");
         }
-        audit.ended(new Audit.Ending(request, reply.end(), System.nanoTime(), reply.text()));
-        return (reply.end() == End.ANSWERED || reply.end() == End.REFUSED || reply.end() == End.FAILED)
-                && !reply.text().contains("connection: close");
+        audit.recordCompletion(new Audit.CompletedRequest(request, reply.outcome(), System.nanoTime(), reply.text()));
+        return (reply.outcome() == Outcome.ANSWERED || reply.outcome() == Outcome.REFUSED
+                || reply.outcome() == Outcome.FAILED) && !reply.text().contains("connection: close");
     }
 
     /** Sends a request for two parts. */
@@ -118,14 +118,14 @@
         while (!isWhole(reply)) {
             int n = in.read(some);
             if (n < 0) {
-                return new Reply(End.CLOSED, reply.toString());
+                return new Reply(Outcome.CLOSED, reply.toString());
             }
             reply.append(new String(some, 0, n, StandardCharsets.US_ASCII));
         }
         return new Reply(switch (reply.substring(9, 12)) {
-            case "200" -> End.ANSWERED;
-            case "429", "503" -> End.REFUSED;
-            default -> End.FAILED;
+            case "200" -> Outcome.ANSWERED;
+            case "429", "503" -> Outcome.REFUSED;
+            default -> Outcome.FAILED;
         }, reply.toString());
     }
 
--- a/coordinator/src/test/java/burlford/play/SoakDiscovery.java
+++ b/coordinator/src/test/java/burlford/play/SoakDiscovery.java
@@ -52,13 +52,13 @@
 
     synchronized void drain(int reader) {
         tell(reader, member(reader, "Terminating", 0));
-        audit.notifiedOfDrain(readers.get(reader).name());
+        audit.recordDrainNotified(readers.get(reader).name());
     }
 
     /** The reader's process is another from now on, in slow start. */
     synchronized void restart(int reader) {
         tell(reader, member(reader, "Ready", System.currentTimeMillis()));
-        audit.notifiedOfStart(readers.get(reader).name());
+        audit.recordRestartNotified(readers.get(reader).name());
     }
 
     private void tell(int reader, String member) {
--- a/coordinator/src/test/java/burlford/play/SoakReader.java
+++ b/coordinator/src/test/java/burlford/play/SoakReader.java
@@ -117,7 +117,7 @@
     /** words: of the frame's first line. False: the connection breaks over it. */
     private synchronized boolean part(Socket socket, String[] words, Map<String, Audit.Attempt> out) {
         String part = words[0];
-        Audit.Attempt attempt = audit.arrived(part, name, Long.parseLong(words[2].substring("d=".length())));
+        Audit.Attempt attempt = audit.recordArrival(part, name, Long.parseLong(words[2].substring("d=".length())));
         out.put(part, attempt);
         double drawn = Math.max(least, random.nextDouble());
         double hangs = BREAKS + HANGS;
@@ -127,7 +127,8 @@
         if (drawn < BREAKS) {
             return false;
         } else if (drawn >= hangs) {
-            String answer = drawn < fails ? " 500 1 -\n" : drawn < turnsAway ? " 503 1 -\n" : " 200 1 -\n" + value(part);
+            String answer = drawn < fails ? " 500 1 -\n" : drawn < turnsAway ? " 503 1 -\n" : " 200 1 -\n"
+                    + value(part);
             attempt.neverRan = answer.startsWith(" 503");
             timer.schedule(() -> answer(socket, out, part, answer), after, TimeUnit.MILLISECONDS);
         }
--- a/coordinator/src/test/java/burlford/play/ThreeMembersTest.java
+++ b/coordinator/src/test/java/burlford/play/StoreFailoverTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Three programs, one store: a write at any of them reaches all, and outlives the one that led. */
-class ThreeMembersTest {
+class StoreFailoverTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private final HttpClient client = HttpClient.newBuilder().followRedirects(HttpClient.Redirect.NORMAL).build();
-    private final Map<String, Program> programs = new LinkedHashMap<>();
+    private final Map<String, CoordinatorProcess> programs = new LinkedHashMap<>();
     private final Map<String, Integer> doors = new LinkedHashMap<>();
 
     @Test
@@ -53,14 +53,14 @@
                     configuration = (ObjectNode) JSON.readTree(in);
                 }
                 configuration.put("name", name).remove("discovery");
-                programs.put(name, Program.serve(configuration, "store: {directory: '"
+                programs.put(name, CoordinatorProcess.serve(configuration, "store: {directory: '"
                         + Files.createDirectory(directory.resolve(name)) + "', members: {" + members + "}}\n"));
             }
             String leader = awaitLeader("");
             String other = doors.keySet().stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
             assertThat(put(other, 0, "id,ansible_host,ansible_port,cell\nr1,127.0.0.1,9,0\n").body())
                     .isEqualTo("{\"key\":\"inventory\",\"version\":1}\n");
-            for (Program p : programs.values()) {
+            for (CoordinatorProcess p : programs.values()) {
                 p.awaitLog("store: inventory is at version 1");
                 assertThat(get(p.port("platform"), "/healthz").statusCode()).isEqualTo(200);
             }
@@ -70,23 +70,24 @@
             assertThat(put(other, 0, "id,ansible_host,ansible_port,cell\n").statusCode()).isEqualTo(409);
             assertThat(put(other, 1, "id,ansible_host,ansible_port,cell\n").statusCode()).isEqualTo(200);
         } finally {
-            programs.values().forEach(Program::close);
+            programs.values().forEach(CoordinatorProcess::close);
         }
     }
 
     /** Who leads, once all that are up agree on one that is not the one that was. */
     private String awaitLeader(String was) throws Exception {
-        for (Program p : programs.values()) {
+        for (CoordinatorProcess p : programs.values()) {
             p.port("store");
         }
-        long until = System.nanoTime() + 3 * Program.PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + 3 * CoordinatorProcess.TIMEOUT_MS * 1_000_000;
         while (System.nanoTime() < until) {
             List<String> named = new ArrayList<>();
             for (int door : doors.values()) {
                 JsonNode status = JSON.readTree(get(door, "/store").body());
                 named.add(status.path("leader").asText(""));
             }
-            if (named.stream().distinct().count() == 1 && doors.containsKey(named.get(0)) && !named.get(0).equals(was)) {
+            if (named.stream().distinct().count() == 1 && doors.containsKey(named.get(0)) && !named.get(0)
+                    .equals(was)) {
                 return named.get(0);
             }
             Thread.sleep(50);
--- a/coordinator/src/test/java/burlford/play/Transcript.java
+++ b/coordinator/src/test/java/burlford/play/Transcript.java
@@ -18,8 +18,8 @@
 
 /**
  * A recorded exchange, played against the program line by line. Peers: c1, c2 (clients of the platform front),
- * q1 (of the search front), a1 (of the store's), s0, s1, s2 (readers, each alone in its cell and so the holder of that shard) and
- * d (discovery, and e where it moves to).
+ * q1 (of the search front), a1 (of the store's), s0, s1, s2 (readers, each alone in its cell and so the holder of that
+ * shard) and d (discovery, and e where it moves to).
  *
  * <pre>
  * set POINTER JSON     changes the configuration; {e} in it is e's address
@@ -41,10 +41,10 @@
     private static final Pattern FILE = Pattern.compile("\\{file:(.*)}");
     private static final Pattern LENGTH = Pattern.compile("\\{(len|chunk):(.*)}$", Pattern.DOTALL);
 
-    private final Map<String, Peer> peers = new LinkedHashMap<>();
+    private final Map<String, ScriptedEndpoint> peers = new LinkedHashMap<>();
     private final ObjectNode configuration;
     private final StringBuilder operator = new StringBuilder();
-    private Program program;
+    private CoordinatorProcess program;
     private String lastId = "";
 
     /** cores: of the operator's file; 1 leaves it as it is. */
@@ -57,13 +57,13 @@
         }
         ArrayNode members = ((ObjectNode) configuration.get("known")).putArray("members");
         for (int i = 0; i < 3; i++) {
-            Peer reader = new Peer();
+            ScriptedEndpoint reader = new ScriptedEndpoint();
             peers.put("s" + i, reader);
             members.addObject().put("id", "s" + i).put("host_port", "127.0.0.1:" + reader.port()).put("cell", i)
                     .put("phase", "Ready").put("up_since_ms", 0);
         }
-        peers.put("d", new Peer());
-        peers.put("e", new Peer());
+        peers.put("d", new ScriptedEndpoint());
+        peers.put("e", new ScriptedEndpoint());
         configuration.put("discovery", "127.0.0.1:" + peers.get("d").port());
     }
 
@@ -88,25 +88,25 @@
         if (words[0].equals("set")) {
             set(words[1], JSON.readTree(rest.replace("{e}", "127.0.0.1:" + peers.get("e").port())));
             if (program != null) {
-                program.configure(configuration);
+                program.writeConfiguration(configuration);
             }
             return;
         }
         if (words[0].equals("operator")) {
             Matcher file = FILE.matcher(line.substring("operator ".length()).replace("{tmp}", directory()));
             String text = file.find() ? file.replaceFirst(Matcher.quoteReplacement(
-                    Program.temporary(".csv", bytes(file.group(1))).toString())) : file.replaceFirst("");
+                    CoordinatorProcess.temporaryFile(".csv", bytes(file.group(1))).toString())) : file.replaceFirst("");
             operator.append(text).append('\n');
             return;
         }
         if (program == null) {
-            program = Program.serve(configuration, operator.length() == 0 ? null : operator.toString());
+            program = CoordinatorProcess.serve(configuration, operator.length() == 0 ? null : operator.toString());
         }
         if (words[0].equals("program")) {
             program(words[1], rest);
             return;
         }
-        Peer peer = peer(words[0]);
+        ScriptedEndpoint peer = peer(words[0]);
         switch (words[1]) {
             case ">" -> peer.send(bytes(rest.replace("{settings}", configuration.get("settings").toString())));
             case ">>" -> peer.send(frame(bytes(rest.replace("{last}", lastId))));
@@ -117,23 +117,23 @@
             }
             case "connect" -> { } // a client has connected by now
             case "accept" -> peer.accept();
-            case "also" -> peer.also();
-            case "end" -> peer.end();
-            case "reset" -> peer.reset();
-            case "ended" -> peer.expectEnd();
+            case "also" -> peer.acceptAnother();
+            case "end" -> peer.closeConnection();
+            case "reset" -> peer.resetConnection();
+            case "ended" -> peer.expectClose();
             default -> throw new AssertionError("no such step");
         }
     }
 
     private static String directory() throws IOException {
-        return Program.temporary(".d", "") + ".store";
+        return CoordinatorProcess.temporaryFile(".d", "") + ".store";
     }
 
     private void program(String step, String rest) throws IOException, InterruptedException {
         switch (step) {
             case "TERM" -> program.terminate();
             case "HUP" -> program.signal("HUP");
-            case "exit" -> assertThat(program.exit()).isEqualTo(Integer.parseInt(rest));
+            case "exit" -> assertThat(program.awaitExit()).isEqualTo(Integer.parseInt(rest));
             case "log" -> program.awaitLog(rest);
             case "counts" -> assertThat(program.out().lines()).contains(rest);
             default -> throw new AssertionError("no such step");
@@ -145,9 +145,9 @@
         ((ObjectNode) configuration.at(at.head())).set(at.last().getMatchingProperty(), value);
     }
 
-    private Peer peer(String name) throws IOException, InterruptedException {
+    private ScriptedEndpoint peer(String name) throws IOException, InterruptedException {
         if (!peers.containsKey(name)) {
-            peers.put(name, new Peer(program.port(switch (name.charAt(0)) {
+            peers.put(name, new ScriptedEndpoint(program.port(switch (name.charAt(0)) {
                 case 'c' -> "platform";
                 case 'q' -> "search";
                 default -> "store";
@@ -197,7 +197,7 @@
         if (program != null) {
             program.close();
         }
-        for (Peer p : peers.values()) {
+        for (ScriptedEndpoint p : peers.values()) {
             p.close();
         }
     }
--- a/coordinator/src/test/java/burlford/play/TranscriptTest.java
+++ b/coordinator/src/test/java/burlford/play/TranscriptTest.java
@@ -50,7 +50,7 @@
     private static List<DynamicTest> transcripts(int cores) throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/transcripts"))) {
             return files.filter(f -> cores == 1 || !ONE_LANE.contains(f.getFileName().toString())).sorted()
-                    .filter(f -> !KnownRed.passesOver("TranscriptTest#" + f.getFileName() + " x" + cores))
+                    .filter(f -> !KnownRed.shouldSkip("TranscriptTest#" + f.getFileName() + " x" + cores))
                     .map(f -> DynamicTest.dynamicTest(f.getFileName() + " x" + cores, () -> {
                 try (Transcript t = new Transcript(cores)) {
                     t.play(Files.readAllLines(f));
--- a/coordinator/src/test/java/burlford/policy/ClockStepTest.java
+++ b/coordinator/src/test/java/burlford/policy/ClockStepTest.java
@@ -20,11 +20,11 @@
     private static final long COLD = 10 * SECOND;
     private static final List<Dispatcher.Part> PARTS = List.of(new Dispatcher.Part(0, 1, 0, 7));
 
-    private final Fixture fixture = Fixture.plain();
+    private final Fixture fixture = Fixture.withDefaults();
     private long number;
 
     private Dispatcher dispatcher() {
-        fixture.coldSpan = SECOND;
+        fixture.overloadWindow = SECOND;
         fixture.instances = 2;
         fixture.aim = SECOND;
         return new Dispatcher(fixture.settings(), 1);
@@ -38,7 +38,7 @@
 
     private long sentAt(Dispatcher d, long from) {
         number++;
-        Dispatcher.Decisions decisions = d.pick(from, number, 0, 0, 7, false, TIME_LEFT, PARTS);
+        Dispatcher.Decisions decisions = d.submit(from, number, 0, 0, 7, false, TIME_LEFT, PARTS);
         long now = from;
         while (decisions.sends().isEmpty()) {
             now += STEP;
@@ -52,7 +52,7 @@
     /** How long three parts in a row take that a reader gets which was noticed just now. */
     private long timeOfThree(long step, boolean inFirstList) {
         Dispatcher d = dispatcher();
-        long now = Fixture.START;
+        long now = Fixture.START_US;
         if (!inFirstList) {
             list(d, now);
         }
@@ -79,7 +79,7 @@
     @ValueSource(booleans = {false, true})
     void slowStartEndsInItsTime(boolean inFirstList) {
         Dispatcher d = dispatcher();
-        long now = Fixture.START;
+        long now = Fixture.START_US;
         if (!inFirstList) {
             list(d, now);
         }
--- a/coordinator/src/test/java/burlford/policy/Fleet.java
+++ b/coordinator/src/test/java/burlford/policy/ClusterSimulation.java
@@ -17,7 +17,7 @@
  * Many instances of the module before the same readers, in virtual time and from one seed: readers of two cores
  * that serve in turn, load snapshots as old as readers take them, instances that share nothing.
  */
-final class Fleet {
+final class ClusterSimulation {
 
     static final long MS = Fixture.MS;
     private static final int CORES = 2;
@@ -34,12 +34,12 @@
         /** Its speed at a time; 1 is a warm one's. */
         LongToDoubleFunction speed = at -> 1;
         int held;
-        int mostHeld;
+        int maxInFlight;
         private double[] reported = {};
         private int served;
         /** When parts came; and at how many times more had come within a second than the rule allows. */
-        final List<Long> sent = new ArrayList<>();
-        int overRule;
+        final List<Long> partArrivals = new ArrayList<>();
+        int limitViolations;
 
         Reader(long id, int cell) {
             this.id = id;
@@ -55,12 +55,13 @@
         }
 
         private void take(int instance, Aggregator.Send s, int attempt) {
-            sent.add(now);
+            partArrivals.add(now);
             connected.add(List.of((long) instance, id));
-            double most = rules.tipMultiple() * speed.applyAsDouble(now) * CORES * rules.fall() / WORK;
-            overRule += sent.stream().filter(t -> t > now - rules.fall()).count() > most ? 1 : 0;
+            double most = rules.overloadMultiple() * speed.applyAsDouble(now) * CORES * rules.overloadWindow() / WORK;
+            limitViolations += partArrivals.stream().filter(t -> t > now - rules.overloadWindow()).count() > most ? 1
+                    : 0;
             held++;
-            mostHeld = Math.max(mostHeld, held);
+            maxInFlight = Math.max(maxInFlight, held);
             int core = free[0] <= free[1] ? 0 : 1;
             long work = (long) (WORK * (0.5 + random.nextDouble()) / speed.applyAsDouble(now));
             free[core] = Math.max(now, free[core]) + work;
@@ -72,12 +73,12 @@
                 if (waiting.remove(List.of((long) instance, s.part(), (long) attempt)) == null) {
                     return; // recalled: its work was done all the same
                 }
-                tell(instance, Fixture.end(s.part(), attempt, id, Outcome.OK, now - sentAt));
+                tell(instance, Fixture.attemptEnded(s.part(), attempt, id, Outcome.OK, now - sentAt));
             });
         }
     }
 
-    long now = Fixture.START;
+    long now = Fixture.START_US;
     final SplittableRandom random;
     final Map<Long, Reader> readers = new TreeMap<>();
     private final List<Decide> instances = new ArrayList<>();
@@ -96,7 +97,7 @@
     /** Attempts out, by instance, part and number: when they were sent. */
     private final Map<List<Long>, Long> waiting = new HashMap<>();
 
-    Fleet(Aggregator.Settings settings, long seed) {
+    ClusterSimulation(Aggregator.Settings settings, long seed) {
         random = new SplittableRandom(seed);
         cells = settings.cells();
         rules = settings.rules();
@@ -119,7 +120,7 @@
         inbox.get(instance).add(e);
     }
 
-    void tellAll(Event e) {
+    void deliverToAll(Event e) {
         inbox.forEach(i -> i.add(e));
     }
 
@@ -134,15 +135,15 @@
             r.speed = at -> coldFrom + (1 - coldFrom) * Math.min(1, (at - startedAt) / (double) coldFor);
             for (int i = 0; i < instances.size(); i++) {
                 int to = i;
-                at(now + random.nextLong(400 * MS), () -> tell(to, new Aggregator.Replicas(
+                at(now + random.nextLong(400 * MS), () -> tell(to, new Aggregator.ListUpdate(
                         Aggregator.ListKind.CHANGES, List.of(listed(old, r.cell, Aggregator.Status.DRAINING, 0),
                                 listed(by, r.cell, Aggregator.Status.READY, startedAt)))));
             }
         });
     }
 
-    private static Aggregator.Listed listed(long id, int cell, Aggregator.Status status, long startedAt) {
-        return new Aggregator.Listed(id, 0, cell, status, 1, startedAt);
+    private static Aggregator.ListEntry listed(long id, int cell, Aggregator.Status status, long startedAt) {
+        return new Aggregator.ListEntry(id, 0, cell, status, 1, startedAt);
     }
 
     /** Queries of one part for each shard of a few, so many a second at all instances together. */
@@ -155,7 +156,8 @@
                 int[] shards = random.ints(0, cells).distinct().limit(parts).toArray();
                 long id = ids;
                 ids += 1 + parts;
-                inbox.get(random.nextInt(instances.size())).addAll(Fixture.query(id, 0, random.nextLong(), shards));
+                inbox.get(random.nextInt(instances.size())).addAll(Fixture.queryEvents(id, 0, random.nextLong(),
+                        shards));
             }
             for (int i = 0; i < instances.size(); i++) {
                 if (!inbox.get(i).isEmpty()) {
@@ -176,11 +178,12 @@
                 Reader r = readers.get(p.replica());
                 probes++;
                 long sentAt = now;
-                at(now + 2 * WAY, () -> tell(instance, new Aggregator.Probed(r.id, Outcome.OK, now - sentAt, r.reported)));
+                at(now + 2 * WAY, () -> tell(instance, new Aggregator.ProbeEnded(r.id, Outcome.OK, now - sentAt,
+                        r.reported)));
             } else if (action instanceof Aggregator.Cancel c) {
                 Long sentAt = waiting.remove(List.of((long) instance, c.part(), (long) c.attempt()));
                 if (sentAt != null) {
-                    tell(instance, Fixture.end(c.part(), c.attempt(), 0, Outcome.CANCELLED, now - sentAt));
+                    tell(instance, Fixture.attemptEnded(c.part(), c.attempt(), 0, Outcome.CANCELLED, now - sentAt));
                 }
             } else if (action instanceof Aggregator.SetAlarm a) {
                 at(now + a.delay(), () -> tell(instance, new Aggregator.Alarm(a.tag())));
--- a/coordinator/src/test/java/burlford/policy/ModuleTextTest.java
+++ b/coordinator/src/test/java/burlford/policy/DecideSourceTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The text of the decision modules: no line is too long, and the main one names its interface. */
-class ModuleTextTest {
+class DecideSourceTest {
 
     private static final Path MODULES = Path.of("src/main/java/burlford/policy");
     private static final int LONGEST_LINE = 110;
@@ -20,7 +20,8 @@
     void linesAreShortAndTheInterfaceIsNamed() throws IOException {
         try (Stream<Path> files = Files.list(MODULES)) {
             for (Path file : files.filter(f -> f.getFileName().toString().startsWith("Decide")).toList()) {
-                assertThat(Files.readAllLines(file)).as(file.toString()).allMatch(l -> l.length() <= LONGEST_LINE);
+                assertThat(Files.readAllLines(file)).as(file.toString())
+                        .allMatch(l -> l.length() <= LONGEST_LINE);
             }
         }
         List<String> head = Files.readAllLines(MODULES.resolve("Decide.java")).subList(0, HEAD_LINES);
--- a/coordinator/src/test/java/burlford/policy/LateBeginningTest.java
+++ b/coordinator/src/test/java/burlford/policy/DelayedAttemptTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Attempts that begin later than they were decided: the rules count them from when they begin. */
-class LateBeginningTest {
+class DelayedAttemptTest {
 
     private static final long BUDGET_WINDOW = 5000 * Fixture.MS;
     private static final long LATE = 200 * Fixture.MS;
@@ -19,17 +19,18 @@
     private static final long TIME_LEFT = 6000 * Fixture.MS;
     private static final List<Dispatcher.Part> PARTS = List.of(new Dispatcher.Part(0, 1, 0, 7));
 
-    private final Fixture fixture = Fixture.plain();
+    private final Fixture fixture = Fixture.withDefaults();
     private long number;
 
     private Dispatcher dispatcher(long startedAt) {
         Dispatcher d = new Dispatcher(fixture.settings(), 3);
-        d.report(Fixture.START, ListKind.CACHED, List.of(new Dispatcher.Reader("s0", 0, 0, Status.READY, 1, startedAt)));
+        d.report(Fixture.START_US, ListKind.CACHED, List.of(new Dispatcher.Reader("s0", 0, 0, Status.READY, 1,
+                startedAt)));
         return d;
     }
 
     private Decisions ask(Dispatcher d, long now) {
-        return d.pick(now, ++number, 0, 0, 7, false, TIME_LEFT, PARTS);
+        return d.submit(now, ++number, 0, 0, 7, false, TIME_LEFT, PARTS);
     }
 
     /** The further attempt of a query that comes and fails at that time; null where there is none. */
@@ -42,41 +43,43 @@
     /** Guards against one further attempt too many in the window behind one that began late. */
     @Test
     void furtherAttemptCountsFromWhenItBegins() {
-        fixture.budgetFree = 1;
+        fixture.budgetBase = 1;
         Dispatcher d = dispatcher(0);
-        Send late = furtherAttempt(d, Fixture.START);
-        assertThat(d.begin(Fixture.START + LATE, late)).isTrue();
-        assertThat(furtherAttempt(d, Fixture.START + BUDGET_WINDOW + STEP)).isNull();
-        assertThat(d.tick(Fixture.START + BUDGET_WINDOW + LATE + STEP).sends()).hasSize(1);
+        Send late = furtherAttempt(d, Fixture.START_US);
+        assertThat(d.tryBegin(Fixture.START_US + LATE, late)).isTrue();
+        assertThat(furtherAttempt(d, Fixture.START_US + BUDGET_WINDOW + STEP)).isNull();
+        assertThat(d.tick(Fixture.START_US + BUDGET_WINDOW + LATE + STEP).sends()).hasSize(1);
     }
 
     /** Guards against a budget that is spent twice over, since an attempt begins where less is allowed than before. */
     @Test
     void furtherAttemptDoesNotBeginWithoutBudget() {
         fixture.budgetShare = 0.5;
-        fixture.budgetFree = 0;
+        fixture.budgetBase = 0;
         Dispatcher d = dispatcher(0);
-        Send further = furtherAttempt(d, Fixture.START);
-        assertThat(d.begin(Fixture.START + STEP, further)).isTrue();
-        assertThat(d.begin(Fixture.START + BUDGET_WINDOW, further)).isFalse();
+        Send further = furtherAttempt(d, Fixture.START_US);
+        assertThat(d.tryBegin(Fixture.START_US + STEP, further)).isTrue();
+        assertThat(d.tryBegin(Fixture.START_US + BUDGET_WINDOW, further)).isFalse();
     }
 
-    /** Guards against parts that follow one another too closely at a reader in slow start, where the first began late. */
+    /**
+     * Guards against parts that follow one another too closely at a reader in slow start, where the first began late.
+     */
     @Test
     void permitInSlowStartIsWorkedOffFromWhenThePartBegins() {
-        fixture.coldSpan = 1000 * Fixture.MS;
+        fixture.overloadWindow = 1000 * Fixture.MS;
         assertThat(secondSent(LATE)).isGreaterThanOrEqualTo(secondSent(0) + LATE / 2);
     }
 
     private long secondSent(long late) {
-        Dispatcher d = dispatcher(Fixture.START - STEP);
-        long now = Fixture.START;
+        Dispatcher d = dispatcher(Fixture.START_US - STEP);
+        long now = Fixture.START_US;
         Decisions decisions = ask(d, now);
         for (; decisions.sends().isEmpty(); decisions = d.tick(now)) {
             now += STEP;
         }
         now += late;
-        assertThat(d.begin(now, decisions.sends().get(0))).isTrue();
+        assertThat(d.tryBegin(now, decisions.sends().get(0))).isTrue();
         long from = now - late;
         decisions = ask(d, now);
         for (; decisions.sends().isEmpty(); decisions = d.tick(now)) {
--- a/coordinator/src/test/java/burlford/policy/DispatcherTest.java
+++ b/coordinator/src/test/java/burlford/policy/DispatcherTest.java
@@ -11,7 +11,7 @@
 /** Readers are replaced all day: those that went leave nothing behind. */
 class DispatcherTest {
 
-    private final Dispatcher dispatcher = new Dispatcher(Fixture.plain().settings(), 3);
+    private final Dispatcher dispatcher = new Dispatcher(Fixture.withDefaults().settings(), 3);
 
     private static Dispatcher.Reader reader(int i, Status status) {
         return new Dispatcher.Reader("s-" + i, 0, 0, status, 1, 0);
@@ -24,8 +24,8 @@
             dispatcher.report(i, ListKind.CHANGES, List.of(reader(i, Status.READY), reader(i - 1, Status.GONE)));
             dispatcher.report(i, "s-" + (i - 1), Outcome.NO_CONNECTION, 1, new double[0]);
         }
-        assertThat(dispatcher.readers()).isEqualTo(1);
-        List<Dispatcher.Send> sends = dispatcher.pick(1000, 1, 0, 0, 0, false, Fixture.MS * 6000,
+        assertThat(dispatcher.readerCount()).isEqualTo(1);
+        List<Dispatcher.Send> sends = dispatcher.submit(1000, 1, 0, 0, 0, false, Fixture.MS * 6000,
                 List.of(new Dispatcher.Part(0, 1, 0, 0))).sends();
         assertThat(sends).extracting(Dispatcher.Send::reader).containsExactly("s-999");
     }
--- a/coordinator/src/test/java/burlford/policy/EmbeddingTest.java
+++ b/coordinator/src/test/java/burlford/policy/EmbeddingTest.java
@@ -11,8 +11,8 @@
 
     @Test
     void readmeExampleSendsThePartAndAnswers() {
-        Aggregator.Settings settings = Fixture.plain().settings();
-        List<Aggregator.Listed> servers = List.of(Fixture.server(41, 0), Fixture.server(42, 1));
+        Aggregator.Settings settings = Fixture.withDefaults().settings();
+        List<Aggregator.ListEntry> servers = List.of(Fixture.server(41, 0), Fixture.server(42, 1));
         long seed = 9;
         long nowMicros = 1_000_000;
         long key = 77;
@@ -20,15 +20,15 @@
 
         Aggregator router = new Decide(settings, seed);
         List<Aggregator.Action> actions = router.round(nowMicros, List.of(
-                new Aggregator.Replicas(Aggregator.ListKind.WHOLE, servers),
-                new Aggregator.QueryIn(1, 1, 0, 1, 2_000_000, 0, false, key, 0),
-                new Aggregator.PartIn(2, 1, shard, 1.0, 0, key)));
+                new Aggregator.ListUpdate(Aggregator.ListKind.WHOLE, servers),
+                new Aggregator.QueryArrived(1, 1, 0, 1, 2_000_000, 0, false, key, 0),
+                new Aggregator.PartArrived(2, 1, shard, 1.0, 0, key)));
 
-        List<Aggregator.Send> sends = Fixture.only(actions, Aggregator.Send.class);
+        List<Aggregator.Send> sends = Fixture.filterByType(actions, Aggregator.Send.class);
         assertEquals(1, sends.size());
         assertTrue(sends.get(0).replica() == 41 || sends.get(0).replica() == 42);
-        actions = router.round(nowMicros + 50_000, List.of(Fixture.end(2, 0, sends.get(0).replica(),
+        actions = router.round(nowMicros + 50_000, List.of(Fixture.attemptEnded(2, 0, sends.get(0).replica(),
                 Aggregator.Outcome.OK, 50_000)));
-        assertEquals(List.of(new Aggregator.Answer(1, true)), Fixture.only(actions, Aggregator.Answer.class));
+        assertEquals(List.of(new Aggregator.Answer(1, true)), Fixture.filterByType(actions, Aggregator.Answer.class));
     }
 }
--- a/coordinator/src/test/java/burlford/policy/PeersTest.java
+++ b/coordinator/src/test/java/burlford/policy/PeersTest.java
@@ -4,10 +4,10 @@
 
 import burlford.policy.Aggregator.Event;
 import burlford.policy.Aggregator.Outcome;
-import burlford.policy.Aggregator.PeerEnd;
-import burlford.policy.Aggregator.PeerProbed;
-import burlford.policy.Aggregator.PeerSent;
-import burlford.policy.Aggregator.PeersLost;
+import burlford.policy.Aggregator.PeerAttemptEnded;
+import burlford.policy.Aggregator.PeerAttemptSent;
+import burlford.policy.Aggregator.PeerProbeEnded;
+import burlford.policy.Aggregator.PeerUpdatesLost;
 import burlford.policy.Aggregator.Probe;
 import burlford.policy.Aggregator.Send;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 class PeersTest {
 
     private static final long MS = Fixture.MS;
-    private long now = Fixture.START;
+    private long now = Fixture.START_US;
     private long next = 1;
     private final Decide module;
 
@@ -27,31 +27,31 @@
     }
 
     private static Decide module(boolean probe) {
-        Fixture f = Fixture.plain();
+        Fixture f = Fixture.withDefaults();
         f.reach = 1;
         f.cells = 1;
-        f.probe = probe;
+        f.mayProbe = probe;
         Decide d = new Decide(f.settings(), 1);
-        d.round(Fixture.START, List.of(Fixture.list(Fixture.server(1, 0), Fixture.server(2, 0))));
+        d.round(Fixture.START_US, List.of(Fixture.listUpdate(Fixture.server(1, 0), Fixture.server(2, 0))));
         return d;
     }
 
-    private PeerSent sent(long attempt, long replica) {
-        return new PeerSent(attempt, replica, 0, 0, 0, 0, now, now + 1000 * MS);
+    private PeerAttemptSent sent(long attempt, long replica) {
+        return new PeerAttemptSent(attempt, replica, 0, 0, 0, 0, now, now + 1000 * MS);
     }
 
-    private PeerEnd end(long attempt, long replica, Outcome outcome, long at, double... report) {
-        return new PeerEnd(attempt, replica, outcome, at, 10 * MS, report);
+    private PeerAttemptEnded end(long attempt, long replica, Outcome outcome, long at, double... report) {
+        return new PeerAttemptEnded(attempt, replica, outcome, at, 10 * MS, report);
     }
 
     /** Where a query of one part goes; it is answered at once, without a report. */
     private long chosen(Event... heard) {
         List<Event> events = new ArrayList<>(List.of(heard));
         long id = next += 10;
-        events.addAll(Fixture.query(id, 0, 0, 0));
-        Send s = Fixture.only(module.round(now, events), Send.class).get(0);
+        events.addAll(Fixture.queryEvents(id, 0, 0, 0));
+        Send s = Fixture.filterByType(module.round(now, events), Send.class).get(0);
         module.round(now, List.of(new Aggregator.ClientLeft(id),
-                Fixture.end(id + 1, 0, s.replica(), Outcome.CANCELLED, 0)));
+                Fixture.attemptEnded(id + 1, 0, s.replica(), Outcome.CANCELLED, 0)));
         now += MS;
         return s.replica();
     }
@@ -72,7 +72,7 @@
         now += 1000 * MS;
         assertThat(chosen()).isEqualTo(home);
         assertThat(chosen(sent(102, home), sent(103, home))).isNotEqualTo(home);
-        assertThat(chosen(new PeersLost())).isEqualTo(home);
+        assertThat(chosen(new PeerUpdatesLost())).isEqualTo(home);
     }
 
     @Test
@@ -110,22 +110,22 @@
     @Test
     void whatAPeerAskedAReaderIsNotAskedAgain() {
         Decide probing = module(true);
-        List<Event> first = Fixture.query(10, 0, 0, 0);
-        assertThat(Fixture.only(probing.round(now, first), Probe.class)).hasSize(1);
+        List<Event> first = Fixture.queryEvents(10, 0, 0, 0);
+        assertThat(Fixture.filterByType(probing.round(now, first), Probe.class)).hasSize(1);
         Decide told = module(true);
-        List<Event> events = new ArrayList<>(List.of(new PeerProbed(1, Outcome.OK, now, 200, new double[] {0}),
-                new PeerProbed(2, Outcome.OK, now, 200, new double[] {0})));
-        events.addAll(Fixture.query(10, 0, 0, 0));
+        List<Event> events = new ArrayList<>(List.of(new PeerProbeEnded(1, Outcome.OK, now, 200, new double[] {0}),
+                new PeerProbeEnded(2, Outcome.OK, now, 200, new double[] {0})));
+        events.addAll(Fixture.queryEvents(10, 0, 0, 0));
         List<Aggregator.Action> actions = told.round(now, events);
-        assertThat(Fixture.only(actions, Probe.class)).isEmpty();
-        assertThat(Fixture.only(actions, Send.class)).hasSize(1);
+        assertThat(Fixture.filterByType(actions, Probe.class)).isEmpty();
+        assertThat(Fixture.filterByType(actions, Send.class)).hasSize(1);
     }
 
     @Test
     void whatIsUnknownIsIgnored() {
         long home = chosen();
         assertThat(chosen(sent(100, 77), end(101, 77, Outcome.OK, now), end(102, home, Outcome.ERROR, now),
-                new PeerProbed(77, Outcome.OK, now, 1, new double[0]),
-                new PeerSent(103, home, 99, 0, 0, 0, now, now + MS))).isEqualTo(home);
+                new PeerProbeEnded(77, Outcome.OK, now, 1, new double[0]),
+                new PeerAttemptSent(103, home, 99, 0, 0, 0, now, now + MS))).isEqualTo(home);
     }
 }
--- a/coordinator/src/test/java/burlford/policy/ReconfigurationTest.java
+++ b/coordinator/src/test/java/burlford/policy/ReconfigurationTest.java
@@ -17,7 +17,7 @@
     private static final long TIME_LEFT = 6 * SECOND;
     private static final List<Dispatcher.Part> PARTS = List.of(new Dispatcher.Part(0, 1, 0, 7));
 
-    private final Fixture fixture = Fixture.plain();
+    private final Fixture fixture = Fixture.withDefaults();
     private long number;
 
     private Dispatcher dispatcher(long seed) {
@@ -31,7 +31,7 @@
     /** When a query that comes at a time is sent; it is answered at once. */
     private long sentAt(Dispatcher d, long from) {
         number++;
-        Dispatcher.Decisions decisions = d.pick(from, number, 0, 0, 7, false, TIME_LEFT, PARTS);
+        Dispatcher.Decisions decisions = d.submit(from, number, 0, 0, 7, false, TIME_LEFT, PARTS);
         long now = from;
         while (decisions.sends().isEmpty()) {
             now += STEP;
@@ -46,10 +46,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void slowStartBudgetOutlivesNewSettings(long seed) {
-        fixture.coldSpan = SECOND;
+        fixture.overloadWindow = SECOND;
         fixture.instances = 2;
         fixture.aim = SECOND;
-        long start = Fixture.START;
+        long start = Fixture.START_US;
         Dispatcher steady = dispatcher(seed);
         list(steady, start, start - SECOND);
         long first = sentAt(steady, start);
@@ -60,7 +60,7 @@
         assertThat(sentAt(before, start)).isEqualTo(first);
         Dispatcher after = dispatcher(seed + 100);
         list(after, first, start - SECOND);
-        after.inherit(before);
+        after.shareBudgetsWith(before);
         assertThat(sentAt(after, first)).isGreaterThanOrEqualTo(second - STEP);
     }
 
@@ -68,13 +68,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void retryBudgetOutlivesNewSettings(long seed) {
-        fixture.budgetFree = 1;
+        fixture.budgetBase = 1;
         Dispatcher before = dispatcher(seed);
-        list(before, Fixture.START, 0);
+        list(before, Fixture.START_US, 0);
         assertThat(furtherAttempts(before)).isEqualTo(1);
         Dispatcher after = dispatcher(seed);
-        list(after, Fixture.START, 0);
-        after.inherit(before);
+        list(after, Fixture.START_US, 0);
+        after.shareBudgetsWith(before);
         assertThat(furtherAttempts(after)).isZero();
     }
 
@@ -82,8 +82,8 @@
     private int furtherAttempts(Dispatcher d) {
         number++;
         int attempts = 0;
-        long now = Fixture.START;
-        Dispatcher.Decisions decisions = d.pick(now, number, 0, 0, 7, false, TIME_LEFT, PARTS);
+        long now = Fixture.START_US;
+        Dispatcher.Decisions decisions = d.submit(now, number, 0, 0, 7, false, TIME_LEFT, PARTS);
         for (int i = 0; i < 50; i++) {
             now += STEP;
             if (decisions.sends().isEmpty()) {
@@ -101,12 +101,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void retryBudgetIsOneForOlderAndNewSettings(long seed) {
-        fixture.budgetFree = 1;
+        fixture.budgetBase = 1;
         Dispatcher before = dispatcher(seed);
-        list(before, Fixture.START, 0);
+        list(before, Fixture.START_US, 0);
         Dispatcher after = dispatcher(seed);
-        list(after, Fixture.START, 0);
-        after.inherit(before);
+        list(after, Fixture.START_US, 0);
+        after.shareBudgetsWith(before);
         assertThat(furtherAttempts(before)).isEqualTo(1);
         assertThat(furtherAttempts(after)).isZero();
     }
@@ -115,14 +115,14 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void slowStartBudgetIsOneForOlderAndNewSettings(long seed) {
-        fixture.coldSpan = SECOND;
+        fixture.overloadWindow = SECOND;
         fixture.aim = SECOND;
-        long start = Fixture.START;
+        long start = Fixture.START_US;
         Dispatcher before = dispatcher(seed);
         list(before, start, start - SECOND);
         Dispatcher after = dispatcher(seed + 100);
         list(after, start, start - SECOND);
-        after.inherit(before);
+        after.shareBudgetsWith(before);
         long first = sentAt(before, start);
         assertThat(sentAt(after, first)).isGreaterThan(first);
     }
--- a/coordinator/src/test/java/burlford/policy/RulesTest.java
+++ b/coordinator/src/test/java/burlford/policy/RulesTest.java
@@ -10,7 +10,7 @@
 import burlford.policy.Aggregator.Cancel;
 import burlford.policy.Aggregator.Event;
 import burlford.policy.Aggregator.Fail;
-import burlford.policy.Aggregator.Listed;
+import burlford.policy.Aggregator.ListEntry;
 import burlford.policy.Aggregator.Outcome;
 import burlford.policy.Aggregator.Refuse;
 import burlford.policy.Aggregator.Send;
@@ -33,42 +33,42 @@
     private static final int KEYED = 1;
     private static final int UNSAFE = 2;
 
-    private long now = Fixture.START;
+    private long now = Fixture.START_US;
     private Decide decide;
 
     private List<Action> at(long ms, List<? extends Event> events) {
-        now = Fixture.START + ms * MS;
+        now = Fixture.START_US + ms * MS;
         return decide.round(now, new ArrayList<>(events));
     }
 
     private void start(Fixture f) {
         decide = new Decide(f.settings(), 3);
-        at(0, List.of(Fixture.list(Fixture.server(11, 0), Fixture.server(12, 1), Fixture.server(13, 2))));
+        at(0, List.of(Fixture.listUpdate(Fixture.server(11, 0), Fixture.server(12, 1), Fixture.server(13, 2))));
     }
 
     private Send sendOne(int cls) {
-        return Fixture.only(at(1, Fixture.query(1, cls, 7, 0)), Send.class).get(0);
+        return Fixture.filterByType(at(1, Fixture.queryEvents(1, cls, 7, 0)), Send.class).get(0);
     }
 
     /** Held to its end, a query that no server ever had cost worth for being refused late. */
     @Test
     void whatNoServerHadIsRefusedByHalfTime() {
-        start(Fixture.plain());
-        at(1, List.of(new Aggregator.Replicas(Aggregator.ListKind.WHOLE, List.of())));
-        List<Action> ends = new ArrayList<>(at(10, Fixture.query(1, SAFE, 7, 0)));
+        start(Fixture.withDefaults());
+        at(1, List.of(new Aggregator.ListUpdate(Aggregator.ListKind.WHOLE, List.of())));
+        List<Action> ends = new ArrayList<>(at(10, Fixture.queryEvents(1, SAFE, 7, 0)));
         for (int ms = 35; ms <= 3010; ms += 25) {
             ends.addAll(at(ms, List.of()));
         }
-        assertEquals(1, Fixture.only(ends, Refuse.class).size());
+        assertEquals(1, Fixture.filterByType(ends, Refuse.class).size());
     }
 
     @Test
     void drainingAndGoneServersGetNothing() {
-        start(Fixture.plain());
-        at(1, List.of(new Aggregator.Replicas(Aggregator.ListKind.CHANGES, List.of(
-                new Listed(11, 0, 0, Status.DRAINING, 1, 0), new Listed(12, 0, 1, Status.GONE, 1, 0)))));
+        start(Fixture.withDefaults());
+        at(1, List.of(new Aggregator.ListUpdate(Aggregator.ListKind.CHANGES, List.of(
+                new ListEntry(11, 0, 0, Status.DRAINING, 1, 0), new ListEntry(12, 0, 1, Status.GONE, 1, 0)))));
         for (int i = 0; i < 20; i++) {
-            for (Send s : Fixture.only(at(2 + i, Fixture.query(100 + 10 * i, SAFE, i, 0)), Send.class)) {
+            for (Send s : Fixture.filterByType(at(2 + i, Fixture.queryEvents(100 + 10 * i, SAFE, i, 0)), Send.class)) {
                 assertEquals(13, s.replica());
             }
         }
@@ -76,25 +76,27 @@
 
     @Test
     void onlyHoldersOfTheShardAreSentIt() {
-        Fixture f = Fixture.plain();
+        Fixture f = Fixture.withDefaults();
         f.reach = 1;
         start(f);
         for (int i = 0; i < 9; i++) {
-            assertEquals(11 + i % 3, Fixture.only(at(1 + i, Fixture.query(100 + 10 * i, SAFE, i, i % 3)), Send.class)
-                    .get(0).replica());
+            assertEquals(11 + i % 3, Fixture.filterByType(at(1 + i, Fixture.queryEvents(100 + 10 * i, SAFE, i, i % 3)),
+                    Send.class).get(0).replica());
         }
     }
 
     @Test
     void unsafePartIsResentOnlyWhenItNeverRan() {
-        start(Fixture.plain());
+        start(Fixture.withDefaults());
         Send s = sendOne(UNSAFE);
-        List<Action> next = at(5, List.of(Fixture.end(2, 0, s.replica(), Outcome.FULL, MS)));
-        assertEquals(1, Fixture.only(next, Send.class).size());
-        next = at(9, List.of(Fixture.end(2, 1, Fixture.only(next, Send.class).get(0).replica(), Outcome.ERROR, MS)));
+        List<Action> next = at(5, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.FULL, MS)));
+        assertEquals(1, Fixture.filterByType(next, Send.class).size());
+        next = at(9, List.of(Fixture.attemptEnded(2, 1, Fixture.filterByType(next, Send.class).get(0).replica(),
+                Outcome.ERROR, MS)));
         for (long t = 20; t < 6000; t += 20) {
-            assertEquals(0, Fixture.only(next, Send.class).size() + Fixture.only(next, Refuse.class).size());
-            if (!Fixture.only(next, Fail.class).isEmpty()) {
+            assertEquals(0, Fixture.filterByType(next, Send.class).size() + Fixture.filterByType(next, Refuse.class)
+                    .size());
+            if (!Fixture.filterByType(next, Fail.class).isEmpty()) {
                 return;
             }
             next = at(t, List.of());
@@ -104,29 +106,29 @@
 
     @Test
     void keyedPartIsResentInsideItsWindowOnly() {
-        start(Fixture.plain());
+        start(Fixture.withDefaults());
         Send s = sendOne(KEYED);
-        List<Action> next = at(100, List.of(Fixture.end(2, 0, s.replica(), Outcome.DROPPED, MS)));
-        assertEquals(1, Fixture.only(next, Send.class).size());
-        start(Fixture.plain());
+        List<Action> next = at(100, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.DROPPED, MS)));
+        assertEquals(1, Fixture.filterByType(next, Send.class).size());
+        start(Fixture.withDefaults());
         s = sendOne(KEYED);
-        next = at(1500, List.of(Fixture.end(2, 0, s.replica(), Outcome.DROPPED, MS)));
-        assertEquals(0, Fixture.only(next, Send.class).size());
+        next = at(1500, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.DROPPED, MS)));
+        assertEquals(0, Fixture.filterByType(next, Send.class).size());
     }
 
     @Test
     void oneCopyOutUnlessAllowed() {
         for (boolean copies : new boolean[] {false, true}) {
-            Fixture f = Fixture.plain();
-            f.secondCopies = copies;
+            Fixture f = Fixture.withDefaults();
+            f.mayHedge = copies;
             start(f);
             sendOne(SAFE);
             int sends = 0;
             int cancels = 0;
             for (long t = 20; t < 1900; t += 20) {
                 List<Action> next = at(t, List.of());
-                sends += Fixture.only(next, Send.class).size();
-                cancels += Fixture.only(next, Cancel.class).size();
+                sends += Fixture.filterByType(next, Send.class).size();
+                cancels += Fixture.filterByType(next, Cancel.class).size();
             }
             assertEquals(copies ? 1 : 0, sends);
             // Where one copy may be out it is recalled, and nothing is sent before its end is told.
@@ -136,46 +138,51 @@
 
     @Test
     void recalledPartGoesToAnotherServerAndNotInTheSameMoment() {
-        start(Fixture.plain());
+        start(Fixture.withDefaults());
         Send first = sendOne(SAFE);
         long recalled = 20;
-        while (Fixture.only(at(recalled, List.of()), Cancel.class).isEmpty() && recalled < 1900) {
+        while (Fixture.filterByType(at(recalled, List.of()), Cancel.class).isEmpty() && recalled < 1900) {
             recalled += 20;
         }
-        assertEquals(List.of(), Fixture.only(at(recalled, List.of(Fixture.end(2, 0, first.replica(), Outcome.CANCELLED,
+        assertEquals(List.of(),
+                Fixture.filterByType(at(recalled, List.of(Fixture.attemptEnded(2, 0, first.replica(), Outcome.CANCELLED,
                 recalled * MS))), Send.class));
-        List<Send> again = Fixture.only(at(recalled + 30, List.of()), Send.class);
+        List<Send> again = Fixture.filterByType(at(recalled + 30, List.of()), Send.class);
         assertEquals(1, again.size());
         assertTrue(again.get(0).replica() != first.replica());
     }
 
     @Test
     void attemptCapHolds() {
-        Fixture f = Fixture.plain();
-        f.attempts = 2;
+        Fixture f = Fixture.withDefaults();
+        f.maxAttempts = 2;
         start(f);
         Send s = sendOne(SAFE);
-        s = Fixture.only(at(5, List.of(Fixture.end(2, 0, s.replica(), Outcome.ERROR, MS))), Send.class).get(0);
-        List<Action> next = at(9, List.of(Fixture.end(2, 1, s.replica(), Outcome.ERROR, MS)));
-        assertTrue(Fixture.only(next, Send.class).isEmpty());
+        s = Fixture.filterByType(at(5, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.ERROR, MS))), Send.class)
+                .get(0);
+        List<Action> next = at(9, List.of(Fixture.attemptEnded(2, 1, s.replica(), Outcome.ERROR, MS)));
+        assertTrue(Fixture.filterByType(next, Send.class).isEmpty());
     }
 
     @Test
     void retryBudgetHolds() {
-        Fixture f = Fixture.plain();
-        f.budgetFree = 1;
+        Fixture f = Fixture.withDefaults();
+        f.budgetBase = 1;
         f.budgetShare = 0.5;
         start(f);
         Send s = sendOne(SAFE); // taken: a query and a part, so two further attempts
         for (int i = 0; i < 2; i++) {
-            s = Fixture.only(at(5 + i, List.of(Fixture.end(2, i, s.replica(), Outcome.FULL, MS))), Send.class).get(0);
+            s = Fixture.filterByType(at(5 + i, List.of(Fixture.attemptEnded(2, i, s.replica(), Outcome.FULL, MS))),
+                    Send.class).get(0);
         }
         start(f);
         f.budgetShare = 0;
         start(f);
         s = sendOne(SAFE);
-        s = Fixture.only(at(5, List.of(Fixture.end(2, 0, s.replica(), Outcome.FULL, MS))), Send.class).get(0);
-        assertTrue(Fixture.only(at(6, List.of(Fixture.end(2, 1, s.replica(), Outcome.FULL, MS))), Send.class).isEmpty());
+        s = Fixture.filterByType(at(5, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.FULL, MS))), Send.class)
+                .get(0);
+        assertTrue(Fixture.filterByType(at(6, List.of(Fixture.attemptEnded(2, 1, s.replica(), Outcome.FULL, MS))),
+                Send.class).isEmpty());
     }
 
     /**
@@ -189,15 +196,15 @@
         double work = 200;
         for (int seed = 0; seed < 6; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Fixture f = Fixture.plain();
-            f.coldSpan = 1000 * MS;
+            Fixture f = Fixture.withDefaults();
+            f.overloadWindow = 1000 * MS;
             f.reach = 1;
             f.instances = routers;
             List<Decide> all = new ArrayList<>();
             for (int i = 0; i < routers; i++) {
                 all.add(new Decide(f.settings(), random.nextLong()));
-                all.get(i).round(Fixture.START, List.of(Fixture.list(new Listed(11, 0, 0, Status.READY, 1,
-                        Fixture.START))));
+                all.get(i).round(Fixture.START_US, List.of(Fixture.listUpdate(new ListEntry(11, 0, 0, Status.READY, 1,
+                        Fixture.START_US))));
             }
             List<Long> sent = new ArrayList<>();
             int early = 0;
@@ -205,8 +212,9 @@
                 for (int i = 0; i < routers; i++) {
                     // Together ten parts a second, the first routers most of them.
                     if (random.nextDouble() < 0.2 / Math.min(routers, 1 + i)) {
-                        List<Event> in = new ArrayList<>(Fixture.query(10L * t + 1, SAFE, 7, 0));
-                        for (Send s : Fixture.only(all.get(i).round(Fixture.START + t * MS, in), Send.class)) {
+                        List<Event> in = new ArrayList<>(Fixture.queryEvents(10L * t + 1, SAFE, 7, 0));
+                        for (Send s : Fixture.filterByType(all.get(i).round(Fixture.START_US + t * MS, in),
+                                Send.class)) {
                             sent.add((long) t);
                         }
                     }
@@ -223,55 +231,55 @@
 
     @Test
     void answerIsWholeOnlyWithAllParts() {
-        start(Fixture.plain());
-        List<Send> sends = Fixture.only(at(1, Fixture.query(1, SAFE, 7, 0, 1)), Send.class);
-        List<Action> next = at(5, List.of(Fixture.end(2, 0, sends.get(0).replica(), Outcome.OK, MS)));
-        assertTrue(Fixture.only(next, Answer.class).isEmpty());
-        next = at(6, List.of(Fixture.end(3, 0, sends.get(1).replica(), Outcome.OK, MS)));
-        assertEquals(List.of(new Answer(1, true)), Fixture.only(next, Answer.class));
+        start(Fixture.withDefaults());
+        List<Send> sends = Fixture.filterByType(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1)), Send.class);
+        List<Action> next = at(5, List.of(Fixture.attemptEnded(2, 0, sends.get(0).replica(), Outcome.OK, MS)));
+        assertTrue(Fixture.filterByType(next, Answer.class).isEmpty());
+        next = at(6, List.of(Fixture.attemptEnded(3, 0, sends.get(1).replica(), Outcome.OK, MS)));
+        assertEquals(List.of(new Answer(1, true)), Fixture.filterByType(next, Answer.class));
     }
 
     @Test
     void partialAnswerFromTheLeastShareAndNotMarkedWhole() {
-        Fixture f = Fixture.plain();
+        Fixture f = Fixture.withDefaults();
         f.floor = 0.5;
         start(f);
-        List<Send> sends = Fixture.only(at(1, Fixture.query(1, UNSAFE, 7, 0, 1)), Send.class);
-        at(5, List.of(Fixture.end(2, 0, sends.get(0).replica(), Outcome.OK, MS)));
+        List<Send> sends = Fixture.filterByType(at(1, Fixture.queryEvents(1, UNSAFE, 7, 0, 1)), Send.class);
+        at(5, List.of(Fixture.attemptEnded(2, 0, sends.get(0).replica(), Outcome.OK, MS)));
         List<Action> all = new ArrayList<>();
         for (long t = 20; t < 6000; t += 20) {
             all.addAll(at(t, List.of()));
         }
-        assertEquals(List.of(new Answer(1, false)), Fixture.only(all, Answer.class));
-        assertTrue(Fixture.only(all, Fail.class).isEmpty());
+        assertEquals(List.of(new Answer(1, false)), Fixture.filterByType(all, Answer.class));
+        assertTrue(Fixture.filterByType(all, Fail.class).isEmpty());
     }
 
     @Test
     void secondStepWaitsForItsParts() {
-        Fixture f = Fixture.plain();
+        Fixture f = Fixture.withDefaults();
         f.followUp = 1;
         start(f);
         Send s = sendOne(SAFE);
-        assertEquals(1, Fixture.only(at(5, List.of(Fixture.end(2, 0, s.replica(), Outcome.OK, MS))), Answer.class)
-                .size());
-        assertTrue(Fixture.only(at(9, List.of()), Answer.class).isEmpty());
-        List<Action> next = at(10, List.of(new Aggregator.PartIn(3, 1, 0, 1, 0, 7)));
-        s = Fixture.only(next, Send.class).get(0);
-        next = at(20, List.of(Fixture.end(3, 0, s.replica(), Outcome.OK, MS)));
-        assertEquals(List.of(new Answer(1, true)), Fixture.only(next, Answer.class));
+        assertEquals(1, Fixture.filterByType(at(5, List.of(Fixture.attemptEnded(2, 0, s.replica(), Outcome.OK, MS))),
+                Answer.class).size());
+        assertTrue(Fixture.filterByType(at(9, List.of()), Answer.class).isEmpty());
+        List<Action> next = at(10, List.of(new Aggregator.PartArrived(3, 1, 0, 1, 0, 7)));
+        s = Fixture.filterByType(next, Send.class).get(0);
+        next = at(20, List.of(Fixture.attemptEnded(3, 0, s.replica(), Outcome.OK, MS)));
+        assertEquals(List.of(new Answer(1, true)), Fixture.filterByType(next, Answer.class));
     }
 
     /** A client with more time left than the others must not make later first tries look like repeats. */
     @Test
     void oneOddClientDoesNotShortenTheAimOfAll() {
-        start(Fixture.plain());
+        start(Fixture.withDefaults());
         for (int i = 0; i < 3; i++) {
-            at(1 + i, List.of(new Aggregator.QueryIn(10 + i, 10 + i, SAFE, 1, (i == 1 ? 5900 : 4000) * MS, 0, false,
-                    7, 0)));
+            at(1 + i, List.of(new Aggregator.QueryArrived(10 + i, 10 + i, SAFE, 1, (i == 1 ? 5900 : 4000) * MS, 0,
+                    false, 7, 0)));
         }
         long gaveUpAt = 0;
         for (long t = 20; t < 2600 && gaveUpAt == 0; t += 20) {
-            for (Refuse r : Fixture.only(at(t, List.of()), Refuse.class)) {
+            for (Refuse r : Fixture.filterByType(at(t, List.of()), Refuse.class)) {
                 gaveUpAt = r.query() == 12 ? t : gaveUpAt;
             }
         }
@@ -281,32 +289,32 @@
     /** A marked later try of a query that was given up has only what is left of its first try's aim. */
     @Test
     void laterTryKeepsTheAimOfItsFirst() {
-        start(Fixture.plain());
-        at(1, List.of(new Aggregator.QueryIn(10, 10, SAFE, 1, 5000 * MS, 0, false, 7, 0)));
+        start(Fixture.withDefaults());
+        at(1, List.of(new Aggregator.QueryArrived(10, 10, SAFE, 1, 5000 * MS, 0, false, 7, 0)));
         boolean gaveUp = false;
         for (long t = 20; t < 2600 && !gaveUp; t += 20) {
-            gaveUp = !Fixture.only(at(t, List.of()), Refuse.class).isEmpty();
+            gaveUp = !Fixture.filterByType(at(t, List.of()), Refuse.class).isEmpty();
         }
         assertTrue(gaveUp);
         List<Event> again = new ArrayList<>();
-        again.add(new Aggregator.QueryIn(20, 20, SAFE, 1, 5000 * MS, 0, true, 7, 0));
-        again.add(new Aggregator.PartIn(21, 20, 0, 1, 0, 7));
-        assertEquals(1, Fixture.only(at(2700, again), Refuse.class).size());
-        assertEquals(1, Fixture.only(at(2701, Fixture.query(30, SAFE, 8, 0)), Send.class).size());
+        again.add(new Aggregator.QueryArrived(20, 20, SAFE, 1, 5000 * MS, 0, true, 7, 0));
+        again.add(new Aggregator.PartArrived(21, 20, 0, 1, 0, 7));
+        assertEquals(1, Fixture.filterByType(at(2700, again), Refuse.class).size());
+        assertEquals(1, Fixture.filterByType(at(2701, Fixture.queryEvents(30, SAFE, 8, 0)), Send.class).size());
     }
 
     @Test
     void failedListCallsAreRepeatedLaterEachTime() {
-        Fixture f = Fixture.plain();
-        f.ask = true;
+        Fixture f = Fixture.withDefaults();
+        f.watchesList = true;
         start(f);
         List<Long> calls = new ArrayList<>();
         for (long t = 1; t < 20_000 && calls.size() < 4; t += 5) {
-            boolean call = !Fixture.only(at(t, calls.isEmpty() && t == 1 ? List.of(new Aggregator.Replicas(
+            boolean call = !Fixture.filterByType(at(t, calls.isEmpty() && t == 1 ? List.of(new Aggregator.ListUpdate(
                     Aggregator.ListKind.FAILED, List.of())) : List.of()), WatchList.class).isEmpty();
             if (call) {
                 calls.add(t);
-                at(t + 1, List.of(new Aggregator.Replicas(Aggregator.ListKind.FAILED, List.of())));
+                at(t + 1, List.of(new Aggregator.ListUpdate(Aggregator.ListKind.FAILED, List.of())));
             }
         }
         assertEquals(4, calls.size());
@@ -315,12 +323,12 @@
 
     @Test
     void oddEventsAreIgnored() {
-        start(Fixture.plain());
-        List<Action> next = at(1, List.of(Fixture.end(99, 0, 11, Outcome.OK, MS), new Aggregator.ClientLeft(98),
-                new Aggregator.PartIn(97, 96, 0, 1, 0, 0), new Aggregator.Alarm(95),
-                new Aggregator.Probed(94, Outcome.OK, MS, new double[] {1}), Fixture.list()));
-        assertTrue(Fixture.only(next, Send.class).isEmpty());
-        assertFalse(Fixture.only(at(2, Fixture.query(1, SAFE, 0, 0)), Refuse.class).size() > 1);
+        start(Fixture.withDefaults());
+        List<Action> next = at(1, List.of(Fixture.attemptEnded(99, 0, 11, Outcome.OK, MS),
+                new Aggregator.ClientLeft(98), new Aggregator.PartArrived(97, 96, 0, 1, 0, 0), new Aggregator.Alarm(95),
+                new Aggregator.ProbeEnded(94, Outcome.OK, MS, new double[] {1}), Fixture.listUpdate()));
+        assertTrue(Fixture.filterByType(next, Send.class).isEmpty());
+        assertFalse(Fixture.filterByType(at(2, Fixture.queryEvents(1, SAFE, 0, 0)), Refuse.class).size() > 1);
         assertThrows(IllegalArgumentException.class, () -> decide.round(now - 1, List.of()));
     }
 
@@ -329,39 +337,39 @@
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11})
     void rulesHoldUnderRandomEvents(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Fixture f = Fixture.plain();
-        f.secondCopies = random.nextBoolean();
-        f.budgetFree = random.nextBoolean() ? 3 : -1;
+        Fixture f = Fixture.withDefaults();
+        f.mayHedge = random.nextBoolean();
+        f.budgetBase = random.nextBoolean() ? 3 : -1;
         f.budgetShare = 0.1;
         f.reach = 1 + random.nextInt(3);
         f.cells = 4;
-        f.probe = random.nextBoolean();
+        f.mayProbe = random.nextBoolean();
         f.floor = random.nextBoolean() ? 1 : 0.5;
-        f.late = random.nextBoolean() ? 0 : 0.1;
+        f.lateWorth = random.nextBoolean() ? 0 : 0.1;
         f.callWork = random.nextBoolean() ? 0 : 50 * MS;
         Aggregator.Settings settings = f.settings();
         decide = new Decide(settings, seed);
-        Checker checker = new Checker(settings, f.secondCopies);
+        Checker checker = new Checker(settings, f.mayHedge);
         List<Event> events = new ArrayList<>();
-        List<Listed> fleet = new ArrayList<>();
+        List<ListEntry> fleet = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             fleet.add(Fixture.server(20 + i, i % 4));
         }
-        events.add(Fixture.list(fleet.toArray(Listed[]::new)));
+        events.add(Fixture.listUpdate(fleet.toArray(ListEntry[]::new)));
         long id = 1;
         for (int step = 0; step < 4000; step++) {
             now += 1 + random.nextInt(20_000);
             if (step < 3000 && random.nextInt(4) == 0) {
                 int parts = 1 + random.nextInt(4);
                 int[] shards = random.ints(parts, 0, 4).toArray();
-                events.addAll(Fixture.query(id, random.nextInt(3), random.nextInt(50), shards));
+                events.addAll(Fixture.queryEvents(id, random.nextInt(3), random.nextInt(50), shards));
                 id += 1 + parts;
             }
             if (random.nextInt(60) == 0) {
                 int i = random.nextInt(8);
                 Status status = Status.values()[random.nextInt(3)];
-                events.add(new Aggregator.Replicas(Aggregator.ListKind.CHANGES,
-                        List.of(new Listed(20 + i, 0, i % 4, status, 1, random.nextBoolean() ? 0 : now))));
+                events.add(new Aggregator.ListUpdate(Aggregator.ListKind.CHANGES,
+                        List.of(new ListEntry(20 + i, 0, i % 4, status, 1, random.nextBoolean() ? 0 : now))));
             }
             checker.outcomes(random, events, now);
             checker.see(now, events);
@@ -378,9 +386,9 @@
 
         final Aggregator.Settings set;
         final boolean copies;
-        final Map<Long, Aggregator.QueryIn> open = new LinkedHashMap<>();
+        final Map<Long, Aggregator.QueryArrived> open = new LinkedHashMap<>();
         final Map<Long, Long> ends = new LinkedHashMap<>();
-        final Map<Long, Aggregator.PartIn> parts = new LinkedHashMap<>();
+        final Map<Long, Aggregator.PartArrived> parts = new LinkedHashMap<>();
         final Map<Long, List<Outcome>> tries = new LinkedHashMap<>();
         final Map<Long, Long> firstSend = new LinkedHashMap<>();
         final Map<Long, Status> status = new LinkedHashMap<>();
@@ -399,7 +407,7 @@
                 if (random.nextInt(30) == 0) {
                     Outcome how = random.nextInt(3) > 0 ? Outcome.OK
                             : Outcome.values()[random.nextInt(Outcome.values().length)];
-                    events.add(Fixture.end(o.part, o.attempt, o.server, how, now - o.at,
+                    events.add(Fixture.attemptEnded(o.part, o.attempt, o.server, how, now - o.at,
                             random.nextInt(3) == 0 ? new double[0] : new double[] {random.nextInt(9)}));
                     out.remove(o);
                     tries.get(o.part).set(o.attempt, how);
@@ -409,15 +417,15 @@
 
         void see(long now, List<Event> events) {
             for (Event e : events) {
-                if (e instanceof Aggregator.QueryIn q) {
+                if (e instanceof Aggregator.QueryArrived q) {
                     open.put(q.number(), q);
                     ends.put(q.query(), now + q.timeLeft());
                     taken.add(now);
-                } else if (e instanceof Aggregator.PartIn p) {
+                } else if (e instanceof Aggregator.PartArrived p) {
                     parts.put(p.part(), p);
                     tries.put(p.part(), new ArrayList<>());
                     taken.add(now);
-                } else if (e instanceof Aggregator.Replicas r) {
+                } else if (e instanceof Aggregator.ListUpdate r) {
                     r.entries().forEach(l -> status.put(l.replica(), l.status()));
                 }
             }
@@ -429,17 +437,18 @@
                     send(now, s);
                 } else if (a instanceof Answer x) {
                     double weight = 0;
-                    for (Aggregator.PartIn p : parts.values()) {
+                    for (Aggregator.PartArrived p : parts.values()) {
                         weight += p.number() == x.query() && tries.get(p.part()).contains(Outcome.OK) ? p.weight() : 0;
                     }
-                    Aggregator.QueryIn q = ended(x.query());
+                    Aggregator.QueryArrived q = ended(x.query());
                     assertTrue(weight >= set.classes().get(q.queryClass()).floor() - 1e-4, "answer under the floor");
                     assertTrue(!x.whole() || weight >= 1 - 1e-4, "marked whole");
                 } else if (a instanceof Refuse x) {
-                    Aggregator.QueryIn q = ended(x.query());
+                    Aggregator.QueryArrived q = ended(x.query());
                     if (set.classes().get(q.queryClass()).effect() != Aggregator.Effect.SAFE) {
-                        for (Aggregator.PartIn p : parts.values()) {
-                            assertTrue(p.number() != q.number() || neverRan(p.part()), "refused though it may have run");
+                        for (Aggregator.PartArrived p : parts.values()) {
+                            assertTrue(p.number() != q.number() || neverRan(p.part()),
+                                    "refused though it may have run");
                         }
                     }
                 } else if (a instanceof Fail x) {
@@ -452,22 +461,22 @@
             return tries.get(part).stream().allMatch(o -> o != null && o.neverRan);
         }
 
-        private Aggregator.QueryIn ended(long query) {
-            Aggregator.QueryIn q = open.remove(query);
+        private Aggregator.QueryArrived ended(long query) {
+            Aggregator.QueryArrived q = open.remove(query);
             assertTrue(q != null, "two final answers, or none was owed");
             return q;
         }
 
         private void send(long now, Send s) {
             sends++;
-            Aggregator.PartIn p = parts.get(s.part());
-            Aggregator.QueryIn q = open.get(p.number());
+            Aggregator.PartArrived p = parts.get(s.part());
+            Aggregator.QueryArrived q = open.get(p.number());
             assertTrue(q != null, "sent after its query ended");
             Aggregator.QueryClass c = set.classes().get(q.queryClass());
             assertEquals(Status.READY, status.get(s.replica()), "sent to a drained server");
             assertTrue(Math.floorMod((s.replica() - 20) % 4 - p.shard(), 4) < set.reach(), "does not hold the shard");
             List<Outcome> tried = tries.get(s.part());
-            assertTrue(tried.size() < set.allowed().attempts(), "too many attempts");
+            assertTrue(tried.size() < set.allowed().maxAttempts(), "too many attempts");
             assertFalse(tried.contains(Outcome.OK), "sent after its answer");
             boolean outNow = tried.contains(null);
             assertTrue(!outNow || copies, "two copies out");
@@ -482,7 +491,7 @@
                     long from = now - set.rules().budgetWindow();
                     long used = extra.stream().filter(t -> t >= from).count();
                     long had = taken.stream().filter(t -> t > from).count();
-                    assertTrue(used <= set.rules().budgetFree() + set.rules().budgetShare() * had, "over the budget");
+                    assertTrue(used <= set.rules().budgetBase() + set.rules().budgetShare() * had, "over the budget");
                 }
             }
             if (neverRan(s.part())) {
--- a/coordinator/src/test/java/burlford/policy/ScoreTest.java
+++ b/coordinator/src/test/java/burlford/policy/ScoreTest.java
@@ -5,7 +5,7 @@
 
 import burlford.policy.Aggregator.Event;
 import burlford.policy.Aggregator.Outcome;
-import burlford.policy.Aggregator.Probed;
+import burlford.policy.Aggregator.ProbeEnded;
 import burlford.policy.Aggregator.Send;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
         a.server = s;
         a.sentAt = at;
         a.weight = weight;
-        s.out.add(a);
+        s.inFlight.add(a);
         return a;
     }
 
@@ -36,7 +36,7 @@
         State.Attempt a = sent(s, 10, 1.5);
         sent(s, 20, 2);
         assertEquals(3.5, Decide.load(s));
-        s.out.remove(a);
+        s.inFlight.remove(a);
         assertEquals(2, Decide.load(s));
     }
 
@@ -73,8 +73,8 @@
     }
 
     private static Decide decide(long seed) {
-        Decide d = new Decide(Fixture.plain().settings(), seed);
-        d.round(Fixture.START, List.of(Fixture.list(Fixture.server(11, 0), Fixture.server(12, 1),
+        Decide d = new Decide(Fixture.withDefaults().settings(), seed);
+        d.round(Fixture.START_US, List.of(Fixture.listUpdate(Fixture.server(11, 0), Fixture.server(12, 1),
                 Fixture.server(13, 2))));
         return d;
     }
@@ -85,8 +85,8 @@
         for (long key = 1; key <= 60; key++) {
             long first = -1;
             for (long seed = 1; seed <= 3; seed++) {
-                long to = Fixture.only(decide(seed).round(Fixture.START + 1, Fixture.query(1, 0, key, 0)), Send.class)
-                        .get(0).replica();
+                long to = Fixture.filterByType(decide(seed).round(Fixture.START_US + 1, Fixture.queryEvents(1, 0, key,
+                        0)), Send.class).get(0).replica();
                 assertTrue(first < 0 || first == to);
                 first = to;
             }
@@ -101,11 +101,11 @@
         for (long key = 1; key <= 20; key++) {
             Decide d = decide(1);
             List<Event> events = new ArrayList<>();
-            events.add(new Probed(11, Outcome.OK, 1000, new double[] {6}));
-            events.add(new Probed(12, Outcome.OK, 1000, new double[] {2}));
-            events.add(new Probed(13, Outcome.OK, 1000, new double[] {6}));
-            events.addAll(Fixture.query(1, 0, key, 0));
-            assertEquals(12, Fixture.only(d.round(Fixture.START + 1, events), Send.class).get(0).replica());
+            events.add(new ProbeEnded(11, Outcome.OK, 1000, new double[] {6}));
+            events.add(new ProbeEnded(12, Outcome.OK, 1000, new double[] {2}));
+            events.add(new ProbeEnded(13, Outcome.OK, 1000, new double[] {6}));
+            events.addAll(Fixture.queryEvents(1, 0, key, 0));
+            assertEquals(12, Fixture.filterByType(d.round(Fixture.START_US + 1, events), Send.class).get(0).replica());
         }
     }
 
@@ -114,10 +114,10 @@
         Decide d = decide(1);
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            events.addAll(Fixture.query(10 * (i + 1), 0, 7, 0));
+            events.addAll(Fixture.queryEvents(10 * (i + 1), 0, 7, 0));
         }
         Map<Long, Integer> to = new HashMap<>();
-        for (Send s : Fixture.only(d.round(Fixture.START + 1, events), Send.class)) {
+        for (Send s : Fixture.filterByType(d.round(Fixture.START_US + 1, events), Send.class)) {
             to.merge(s.replica(), 1, Integer::sum);
         }
         assertEquals(3, to.size());
@@ -127,22 +127,22 @@
     @Test
     void fastFailuresDoNotLookIdle() {
         Decide d = decide(1);
-        d.round(Fixture.START + 1, Fixture.query(1, 0, 7, 0));
+        d.round(Fixture.START_US + 1, Fixture.queryEvents(1, 0, 7, 0));
         // Whichever took the part turns it away and reports that it is idle; peers report a queue.
         Send first = null;
         List<Event> busy = new ArrayList<>();
         for (long id = 11; id <= 13; id++) {
-            busy.add(new Probed(id, Outcome.OK, 1000, new double[] {9}));
+            busy.add(new ProbeEnded(id, Outcome.OK, 1000, new double[] {9}));
         }
         Decide e = decide(1);
-        first = Fixture.only(e.round(Fixture.START + 1, Fixture.query(1, 0, 7, 0)), Send.class).get(0);
-        e.round(Fixture.START + 2, busy);
+        first = Fixture.filterByType(e.round(Fixture.START_US + 1, Fixture.queryEvents(1, 0, 7, 0)), Send.class).get(0);
+        e.round(Fixture.START_US + 2, busy);
         List<Event> events = new ArrayList<>();
-        events.add(Fixture.end(2, 0, first.replica(), Outcome.FULL, 1, 0));
+        events.add(Fixture.attemptEnded(2, 0, first.replica(), Outcome.FULL, 1, 0));
         for (int i = 0; i < 4; i++) {
-            events.addAll(Fixture.query(10 * (i + 1), 0, 7, 0));
+            events.addAll(Fixture.queryEvents(10 * (i + 1), 0, 7, 0));
         }
-        for (Send s : Fixture.only(e.round(Fixture.START + 3, events), Send.class)) {
+        for (Send s : Fixture.filterByType(e.round(Fixture.START_US + 3, events), Send.class)) {
             assertTrue(s.replica() != first.replica(), "sent to the server that fails fast");
         }
     }
@@ -153,23 +153,23 @@
         Decide d = decide(1);
         List<Event> first = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            first.addAll(Fixture.query(10 * (i + 1), 0, 7, 0));
+            first.addAll(Fixture.queryEvents(10 * (i + 1), 0, 7, 0));
         }
-        List<Send> sent = Fixture.only(d.round(Fixture.START + 1, first), Send.class);
+        List<Send> sent = Fixture.filterByType(d.round(Fixture.START_US + 1, first), Send.class);
         long busy = sent.get(0).replica();
         List<Event> next = new ArrayList<>();
         for (long id = 11; id <= 13; id++) {
-            next.add(new Probed(id, Outcome.OK, 1000, new double[] {id == busy ? 3 : 2}));
+            next.add(new ProbeEnded(id, Outcome.OK, 1000, new double[] {id == busy ? 3 : 2}));
         }
-        d.round(Fixture.START + 2, next);
+        d.round(Fixture.START_US + 2, next);
         next.clear();
         for (Send s : sent) {
             if (s.replica() == busy) {
-                next.add(Fixture.end(s.part(), 0, busy, Outcome.OK, 1000));
+                next.add(Fixture.attemptEnded(s.part(), 0, busy, Outcome.OK, 1000));
             }
         }
-        next.addAll(Fixture.query(500, 0, 7, 0));
-        List<Send> last = Fixture.only(d.round(Fixture.START + 3, next), Send.class);
+        next.addAll(Fixture.queryEvents(500, 0, 7, 0));
+        List<Send> last = Fixture.filterByType(d.round(Fixture.START_US + 3, next), Send.class);
         assertEquals(busy, last.get(last.size() - 1).replica());
     }
 }
--- a/coordinator/src/test/java/burlford/store/FailingChannel.java
+++ b/coordinator/src/test/java/burlford/store/FailingChannel.java
@@ -15,8 +15,8 @@
     private final FileChannel file;
     private byte[] synced;
     /** The next write fails behind so many bytes; negative: it does not. */
-    int failWriteAfter = -1;
-    boolean failSync;
+    int failWriteAfterBytes = -1;
+    boolean syncFails;
 
     FailingChannel(FileChannel file) throws IOException {
         this.file = file;
@@ -31,18 +31,18 @@
 
     @Override
     public int write(ByteBuffer from, long position) throws IOException {
-        if (failWriteAfter < 0) {
+        if (failWriteAfterBytes < 0) {
             return file.write(from, position);
         }
-        ByteBuffer part = from.slice(from.position(), Math.min(failWriteAfter, from.remaining()));
-        failWriteAfter = -1;
+        ByteBuffer part = from.slice(from.position(), Math.min(failWriteAfterBytes, from.remaining()));
+        failWriteAfterBytes = -1;
         file.write(part, position);
         throw new IOException("No space left on device");
     }
 
     @Override
     public void force(boolean metaData) throws IOException {
-        if (!failSync) {
+        if (!syncFails) {
             file.force(metaData);
             synced = content();
             return;
--- a/coordinator/src/test/java/burlford/store/LogFileTest.java
+++ b/coordinator/src/test/java/burlford/store/LogFileTest.java
@@ -40,13 +40,13 @@
 
     private static LogEntry entry(long index) {
         return new DefaultRaftModelFactory().createLogEntryBuilder().setIndex(index).setTerm(1)
-                .setOperation(VersionedMap.write("key" + index, 0, "value")).build();
+                .setOperation(VersionedMap.encodeWrite("key" + index, 0, "value")).build();
     }
 
     /** The indexes that a member finds which starts on the file as it is. */
     private List<Long> found() throws IOException {
         try (LogFile again = new LogFile(path)) {
-            return again.restored().getLogEntries().stream().map(LogEntry::getIndex).toList();
+            return again.restoredState().getLogEntries().stream().map(LogEntry::getIndex).toList();
         }
     }
 
@@ -54,9 +54,9 @@
     @Test
     void whatAFailedSyncCoveredIsWrittenAgain() throws IOException {
         log.persistLogEntries(List.of(entry(1)));
-        file.failSync = true;
+        file.syncFails = true;
         assertThatThrownBy(log::flush).isInstanceOf(IOException.class);
-        file.failSync = false;
+        file.syncFails = false;
         log.persistLogEntries(List.of(entry(2)));
         log.flush();
         assertThat(found()).containsExactly(1L, 2L);
@@ -66,7 +66,7 @@
     @Test
     void whatAFailedWriteLeftIsCutOff() throws IOException {
         log.persistLogEntries(List.of(entry(1)));
-        file.failWriteAfter = 20;
+        file.failWriteAfterBytes = 20;
         assertThatThrownBy(() -> log.persistLogEntries(List.of(entry(2)))).isInstanceOf(IOException.class);
         log.persistLogEntries(List.of(entry(2)));
         log.flush();
--- a/coordinator/src/test/java/burlford/store/ReplicatedStoreTest.java
+++ b/coordinator/src/test/java/burlford/store/ReplicatedStoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import burlford.core.Deadlines;
+import burlford.core.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelFuture;
@@ -35,7 +35,7 @@
     @TempDir
     private Path directory;
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Deadlines deadlines = new Deadlines();
+    private final Timers deadlines = new Timers();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, ReplicatedStore> up = new LinkedHashMap<>();
 
@@ -74,7 +74,7 @@
 
     private void turn() {
         loop.run(5_000_000);
-        deadlines.sweep(System.nanoTime() / 1000);
+        deadlines.runDue(System.nanoTime() / 1000);
     }
 
     private void await(BooleanSupplier condition) {
@@ -96,8 +96,8 @@
         return leader[0];
     }
 
-    private Store.Written put(String member, long from, String value) {
-        Store.Written[] written = new Store.Written[1];
+    private Store.WriteResult put(String member, long from, String value) {
+        Store.WriteResult[] written = new Store.WriteResult[1];
         up.get(member).put("k", from, value, w -> written[0] = w);
         await(() -> written[0] != null);
         return written[0];
@@ -114,7 +114,7 @@
     @Test
     void writesReachAllAndStaleOnesAreRejected() {
         String leader = leader();
-        assertThat(put(leader, 0, "one")).isEqualTo(new Store.Written(Store.Outcome.STORED, 1, ""));
+        assertThat(put(leader, 0, "one")).isEqualTo(new Store.WriteResult(Store.Outcome.STORED, 1, ""));
         awaitEverywhere(1, "one");
         assertThat(put(leader, 0, "other").outcome()).isEqualTo(Store.Outcome.STALE);
         assertThat(put(leader, 1, "two").version()).isEqualTo(2);
--- a/deploy/Rehearsal.java
+++ b/deploy/CdsArchiveBuilder.java
@@ -20,9 +20,9 @@
 /**
  * Writes the archive of classes that deploy/serve starts with: plays discovery, one reader and a client to a packaged
  * coordinator on this machine's loopback, and tells it to stop; the JVM writes what it had loaded as it ends. Part of
- * the build, run from the root: {@code java deploy/Rehearsal.java}. Exits with 1 where no archive came of it.
+ * the build, run from the root: {@code java deploy/CdsArchiveBuilder.java}. Exits with 1 where no archive came of it.
  */
-public final class Rehearsal {
+public final class CdsArchiveBuilder {
 
     private static final Path ARCHIVE = Path.of("coordinator/target/burlford.jsa");
     /** Of examples/configuration.json. */
@@ -30,11 +30,11 @@
     private static final int QUERIES = 200;
     private static final int LONGEST_S = 60;
 
-    private interface Peer {
+    private interface ConnectionHandler {
         void serve(Socket s) throws IOException;
     }
 
-    private static ServerSocket listen(Peer peer) throws IOException {
+    private static ServerSocket listen(ConnectionHandler peer) throws IOException {
         ServerSocket at = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
         Thread accepting = new Thread(() -> {
             while (true) {
@@ -113,9 +113,10 @@
 
     public static void main(String[] args) throws Exception {
         Files.deleteIfExists(ARCHIVE);
-        ServerSocket reader = listen(Rehearsal::reader);
-        String members = IntStream.range(0, CELLS).mapToObj(cell -> "{\"id\":\"r" + cell + "\",\"host_port\":\"127.0.0.1:"
-                + reader.getLocalPort() + "\",\"locality\":\"angyalfold-room\",\"flavor\":\"m\",\"cell\":" + cell
+        ServerSocket reader = listen(CdsArchiveBuilder::reader);
+        String members = IntStream.range(0, CELLS).mapToObj(cell -> "{\"id\":\"r" + cell
+                + "\",\"host_port\":\"127.0.0.1:" + reader.getLocalPort()
+                + "\",\"locality\":\"angyalfold-room\",\"flavor\":\"m\",\"cell\":" + cell
                 + ",\"phase\":\"Ready\",\"size\":1.0,\"up_since_ms\":0}")
                 .collect(Collectors.joining(",", "{\"revision\":1,\"complete\":true,\"members\":[", "]}"));
         ServerSocket discovery = listen(s -> discovery(s, members));
--- a/lab/src/main/java/burlford/lab/Audit.java
+++ b/lab/src/main/java/burlford/lab/Audit.java
@@ -28,7 +28,7 @@
     final AtomicLong secondCopies = new AtomicLong();
     final AtomicLong overLimit = new AtomicLong();
     final AtomicLong wrongShard = new AtomicLong();
-    final AtomicLong further = new AtomicLong();
+    final AtomicLong furtherAttempts = new AtomicLong();
     private final int mostAttempts;
     private volatile Map<String, Part> current = new ConcurrentHashMap<>();
     private volatile Map<String, Part> before = new ConcurrentHashMap<>();
@@ -39,7 +39,7 @@
     }
 
     /** An attempt of a part has come. */
-    void came(String part, boolean held) {
+    void recordArrival(String part, boolean held) {
         turn();
         parts.incrementAndGet();
         if (!held) {
@@ -48,7 +48,7 @@
         Part p = part(part);
         synchronized (p) {
             if (++p.attempts > 1) {
-                further.incrementAndGet();
+                furtherAttempts.incrementAndGet();
             }
             if (p.attempts > mostAttempts) {
                 overLimit.incrementAndGet();
@@ -60,7 +60,7 @@
     }
 
     /** An attempt of it is answered, given up, or gone with its connection. */
-    void over(String part) {
+    void recordEnd(String part) {
         Part p = part(part);
         synchronized (p) {
             p.out--;
@@ -97,7 +97,7 @@
     }
 
     /** Parts with two attempts out right now, for longer than words take to cross. */
-    long stillDouble() {
+    long countOpenSecondCopies() {
         long now = System.nanoTime();
         return java.util.stream.Stream.of(before, current).flatMap(m -> m.values().stream())
                 .filter(p -> p.doubleSince != 0 && now - p.doubleSince > CROSSING).count();
--- a/lab/src/main/java/burlford/lab/Started.java
+++ b/lab/src/main/java/burlford/lab/ChildProcess.java
@@ -13,25 +13,25 @@
 import java.util.regex.Pattern;
 
 /** A program that the laboratory started: its input, its output line by line, its memory, its end. */
-final class Started implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
 
     private static final long PATIENCE_S = 20;
 
     private final Process process;
     private final BufferedReader out;
 
-    Started(List<String> command, Map<String, String> environment, Path errors) throws IOException {
+    ChildProcess(List<String> command, Map<String, String> environment, Path errors) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command).redirectError(errors.toFile());
         builder.environment().putAll(environment);
         process = builder.start();
         out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    static String java() {
+    static String javaExecutable() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    String line() throws IOException {
+    String readLine() throws IOException {
         String line = out.readLine();
         if (line == null) {
             throw new IOException("the program has ended");
@@ -39,14 +39,14 @@
         return line;
     }
 
-    String ask(String line) throws IOException {
+    String sendAndReadLine(String line) throws IOException {
         process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
-        return line();
+        return readLine();
     }
 
     /** Waits until a file has a match, and gives its first group. */
-    String await(Path file, String regex) throws IOException, InterruptedException {
+    String awaitMatch(Path file, String regex) throws IOException, InterruptedException {
         Pattern pattern = Pattern.compile(regex);
         for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S); System.nanoTime() < until;) {
             Matcher m = pattern.matcher(Files.readString(file));
--- a/lab/src/main/java/burlford/lab/CoresCommand.java
+++ b/lab/src/main/java/burlford/lab/CoresCommand.java
@@ -63,17 +63,18 @@
         oneLane = rate;
         ObjectNode file = json.createObjectNode();
         ArrayNode runs = file.putArray("runs");
-        System.out.printf("%-6s %10s %8s %8s %8s %8s %8s %7s %9s %9s %7s %7s %6s %6s %6s%n", "lanes", "answered/s", "p50 ms",
-                "p99 ms", "p50 xN", "p99 xN", "cores", "others", "refused", "probes/p", "2copies", "over", "lost", "wrong",
-                "rss MB");
+        System.out.printf("%-6s %10s %8s %8s %8s %8s %8s %7s %9s %9s %7s %7s %6s %6s %6s%n", "lanes", "answered/s",
+                "p50 ms", "p99 ms", "p50 xN", "p99 xN", "cores", "others", "refused", "probes/p", "2copies", "over",
+                "lost", "wrong", "rss MB");
         boolean broken = false;
         for (int n : lanes) {
             ObjectNode run = run(n);
             runs.add(run);
-            System.out.printf(Locale.ROOT, "%-6d %10.0f %8.2f %8.2f %8.2f %8.2f %8.2f %7.2f %9d %9.3f %7d %7d %6d %6d %6.0f%n", n,
+            System.out.printf(Locale.ROOT,
+                    "%-6d %10.0f %8.2f %8.2f %8.2f %8.2f %8.2f %7.2f %9d %9.3f %7d %7d %6d %6d %6.0f%n", n,
                     run.path("throughput").asDouble(), run.path("p50_ms").asDouble(), run.path("p99_ms").asDouble(),
-                    run.path("p50_each_ms").asDouble(), run.path("p99_each_ms").asDouble(), run.path("cpu_cores").asDouble(),
-                    run.path("readers_cores").asDouble() + run.path("load_cores").asDouble(),
+                    run.path("p50_each_ms").asDouble(), run.path("p99_each_ms").asDouble(), run.path("cpu_cores")
+                    .asDouble(), run.path("readers_cores").asDouble() + run.path("load_cores").asDouble(),
                     run.path("refused").asLong(), run.path("probes_per_part").asDouble(),
                     run.path("second_copies").asLong(), run.path("over_limit").asLong(), run.path("lost").asLong(),
                     run.path("wrong").asLong(), run.path("rss_mb").asDouble());
@@ -89,24 +90,24 @@
 
     private ObjectNode run(int n) throws Exception {
         Path work = Files.createTempDirectory("burlford-lab");
-        try (Started readers = readers(work)) {
-            JsonNode addresses = json.readTree(readers.line());
-            List<Started> coordinators = new ArrayList<>();
+        try (ChildProcess readers = readers(work)) {
+            JsonNode addresses = json.readTree(readers.readLine());
+            List<ChildProcess> coordinators = new ArrayList<>();
             try {
                 List<Integer> ports = new ArrayList<>();
                 for (int i = 0; i < (separate ? n : 1); i++) {
                     Path log = work.resolve("coordinator-" + i + ".log");
-                    Started c = coordinator(work, separate ? 1 : n, addresses, log);
+                    ChildProcess c = coordinator(work, separate ? 1 : n, addresses, log);
                     coordinators.add(c);
-                    ports.add(Integer.parseInt(c.await(log, "serves platform at 127\\.0\\.0\\.1:(\\d+)")));
+                    ports.add(Integer.parseInt(c.awaitMatch(log, "serves platform at 127\\.0\\.0\\.1:(\\d+)")));
                 }
                 ObjectNode run = measure(n, ports, readers, coordinators);
-                for (Started c : coordinators) {
+                for (ChildProcess c : coordinators) {
                     c.stop();
                 }
                 return run;
             } finally {
-                coordinators.forEach(Started::close);
+                coordinators.forEach(ChildProcess::close);
             }
         } finally {
             try (var files = Files.list(work)) {
@@ -118,91 +119,97 @@
         }
     }
 
-    private ObjectNode measure(int n, List<Integer> port, Started readers, List<Started> coordinators) throws Exception {
-        Load.Result all = new Load.Result();
-        all.add(Load.run(plan(port, connections * n, 0, seconds / 2, seed * 100 + 1))); // warms both
+    private ObjectNode measure(int n, List<Integer> port, ChildProcess readers, List<ChildProcess> coordinators)
+            throws Exception {
+        LoadGenerator.Result all = new LoadGenerator.Result();
+        all.add(LoadGenerator.run(plan(port, connections * n, 0, seconds / 2, seed * 100 + 1))); // warms both
         ObjectNode run = json.createObjectNode().put("lanes", n);
-        JsonNode before = json.readTree(readers.ask("audit"));
+        JsonNode before = json.readTree(readers.sendAndReadLine("audit"));
         double cpu = cpu(coordinators);
         double readersCpu = readers.cpuSeconds();
-        double loadCpu = Started.ownCpuSeconds();
-        Load.Result full = Load.run(plan(port, connections * n, 0, seconds, seed * 100 + 2));
-        JsonNode after = json.readTree(readers.ask("audit"));
+        double loadCpu = ChildProcess.ownCpuSeconds();
+        LoadGenerator.Result full = LoadGenerator.run(plan(port, connections * n, 0, seconds, seed * 100 + 2));
+        JsonNode after = json.readTree(readers.sendAndReadLine("audit"));
         all.add(full);
-        run.put("throughput", full.throughput()).put("saturated_p50_ms", full.ms(50)).put("saturated_p99_ms", full.ms(99));
+        run.put("throughput", full.throughput()).put("saturated_p50_ms", full.latencyMs(50)).put("saturated_p99_ms",
+                full.latencyMs(99));
         // Of what was measured and of what measures: where the sum nears the machine's cores, that is the bound.
-        double took = seconds + Load.WARM;
+        double took = seconds + LoadGenerator.WARM_UP_S;
         run.put("cpu_cores", (cpu(coordinators) - cpu) / took)
                 .put("readers_cores", (readers.cpuSeconds() - readersCpu) / took)
-                .put("load_cores", (Started.ownCpuSeconds() - loadCpu) / took);
+                .put("load_cores", (ChildProcess.ownCpuSeconds() - loadCpu) / took);
         run.put("probes_per_part", (after.path("probes").asDouble() - before.path("probes").asDouble())
                 / Math.max(1, after.path("parts").asDouble() - before.path("parts").asDouble()));
         oneLane = oneLane == 0 ? full.throughput() / n : oneLane;
         if (!"saturation".equals(only)) {
-            Load.Result same = Load.run(plan(port, connections * n * 2, LOAD * oneLane, seconds, seed * 100 + 3));
-            JsonNode same2 = json.readTree(readers.ask("audit"));
+            LoadGenerator.Result same = LoadGenerator.run(plan(port, connections * n * 2, LOAD * oneLane, seconds,
+                    seed * 100 + 3));
+            JsonNode same2 = json.readTree(readers.sendAndReadLine("audit"));
             all.add(same);
-            run.put("rate", LOAD * oneLane).put("p50_ms", same.ms(50)).put("p99_ms", same.ms(99));
+            run.put("rate", LOAD * oneLane).put("p50_ms", same.latencyMs(50)).put("p99_ms", same.latencyMs(99));
             run.put("probes_per_part_at_rate", (same2.path("probes").asDouble() - after.path("probes").asDouble())
                     / Math.max(1, same2.path("parts").asDouble() - after.path("parts").asDouble()));
-            Load.Result each = n == 1 ? same
-                    : Load.run(plan(port, connections * n * 2, LOAD * oneLane * n, seconds, seed * 100 + 4));
+            LoadGenerator.Result each = n == 1 ? same
+                    : LoadGenerator.run(plan(port, connections * n * 2, LOAD * oneLane * n, seconds, seed * 100 + 4));
             if (n > 1) {
                 all.add(each);
             }
-            run.put("p50_each_ms", each.ms(50)).put("p99_each_ms", each.ms(99));
+            run.put("p50_each_ms", each.latencyMs(50)).put("p99_each_ms", each.latencyMs(99));
         }
-        JsonNode audit = json.readTree(readers.ask("audit"));
+        JsonNode audit = json.readTree(readers.sendAndReadLine("audit"));
         run.put("sent", all.sent).put("answered", all.answered).put("refused", all.refused).put("failed", all.failed)
-                .put("lost", all.lost).put("wrong", all.wrong).put("bad", all.bad);
+                .put("lost", all.lost).put("wrong", all.wrongAnswers).put("bad", all.unexpectedStatuses);
         run.put("parts", audit.path("parts").asLong()).put("further", audit.path("further").asLong());
-        run.put("second_copies", audit.path("second_copies").asLong()).put("over_limit", audit.path("over_limit").asLong())
-                .put("wrong_shard", audit.path("wrong_shard").asLong()).put("double_probes", audit.path("double_probes").asLong());
+        run.put("second_copies", audit.path("second_copies").asLong()).put("over_limit", audit.path("over_limit")
+                .asLong()).put("wrong_shard", audit.path("wrong_shard").asLong()).put("double_probes",
+                audit.path("double_probes").asLong());
         double rss = 0;
-        for (Started c : coordinators) {
+        for (ChildProcess c : coordinators) {
             rss += c.rssMb();
         }
         return run.put("rss_mb", rss);
     }
 
-    private static double cpu(List<Started> coordinators) throws IOException {
+    private static double cpu(List<ChildProcess> coordinators) throws IOException {
         double sum = 0;
-        for (Started c : coordinators) {
+        for (ChildProcess c : coordinators) {
             sum += c.cpuSeconds();
         }
         return sum;
     }
 
-    private Load.Plan plan(List<Integer> port, int clients, double perSecond, double time, long withSeed) {
-        return new Load.Plan(port, clients, perSecond, time, most, 4000, 4, 2, withSeed);
+    private LoadGenerator.Plan plan(List<Integer> port, int clients, double perSecond, double time, long withSeed) {
+        return new LoadGenerator.Plan(port, clients, perSecond, time, most, 4000, 4, 2, withSeed);
     }
 
-    private Started readers(Path work) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Started.java(), "-XX:+UseSerialGC", "-Xmx512m", "-cp",
-                System.getProperty("java.class.path"), "burlford.lab.Lab", "readers", "--service-us", "" + service,
-                "--seed", "" + seed));
+    private ChildProcess readers(Path work) throws IOException {
+        List<String> command = new ArrayList<>(List.of(ChildProcess.javaExecutable(), "-XX:+UseSerialGC", "-Xmx512m",
+                "-cp", System.getProperty("java.class.path"), "burlford.lab.Lab", "readers", "--service-us",
+                "" + service, "--seed", "" + seed));
         if (faults) {
             command.add("--faults");
         }
-        return new Started(command, Map.of(), work.resolve("readers.log"));
+        return new ChildProcess(command, Map.of(), work.resolve("readers.log"));
     }
 
-    private Started coordinator(Path work, int n, JsonNode addresses, Path log) throws IOException {
+    private ChildProcess coordinator(Path work, int n, JsonNode addresses, Path log) throws IOException {
         StringBuilder inventory = new StringBuilder("id,ansible_host,ansible_port,cell\n");
         for (int i = 0; i < addresses.size(); i++) {
-            inventory.append("r").append(i).append(",127.0.0.1,").append(addresses.get(i).path("port").asInt()).append(',')
-                    .append(addresses.get(i).path("cell").asInt()).append('\n');
+            inventory.append("r").append(i).append(",127.0.0.1,").append(addresses.get(i).path("port").asInt())
+                    .append(',').append(addresses.get(i).path("cell").asInt()).append('\n');
         }
         Files.writeString(work.resolve("readers.csv"), inventory);
         // A jar from before lanes knows no such key, and one lane needs none.
-        Files.writeString(work.resolve("operator.yaml"), "inventory: readers.csv\n" + (n == 1 ? "" : "cores: " + n + "\n"));
+        Files.writeString(work.resolve("operator.yaml"), "inventory: readers.csv\n" + (n == 1 ? "" : "cores: " + n
+                + "\n"));
         try (InputStream in = CoresCommand.class.getResourceAsStream("configuration.json")) {
             Files.write(work.resolve("configuration.json"), in.readAllBytes());
         }
-        List<String> command = new ArrayList<>(List.of(Started.java()));
+        List<String> command = new ArrayList<>(List.of(ChildProcess.javaExecutable()));
         command.addAll(javaOptions);
-        command.addAll(List.of("-jar", jar.toString(), "serve", "--operator", work.resolve("operator.yaml").toString()));
-        return new Started(command, Map.of("PROXY_CONFIG", work.resolve("configuration.json").toString()),
+        command.addAll(List.of("-jar", jar.toString(), "serve", "--operator", work.resolve("operator.yaml")
+                .toString()));
+        return new ChildProcess(command, Map.of("PROXY_CONFIG", work.resolve("configuration.json").toString()),
                 log);
     }
 }
--- a/lab/src/main/java/burlford/lab/Reader.java
+++ b/lab/src/main/java/burlford/lab/FakeReader.java
@@ -27,18 +27,18 @@
  * exponential service times, a waiting room, load reports; it can stand still and die. All of it runs on one event
  * loop.
  */
-final class Reader {
+final class FakeReader {
 
     /** serviceMicros: the mean; 0: answers at once. */
-    record Model(int slots, int waiting, long serviceMicros) { }
+    record ServiceModel(int slots, int maxQueued, long meanServiceUs) { }
 
-    private static final class Work {
+    private static final class PartTask {
         final String part;
         final Channel on;
         final byte[] text;
         boolean over;
 
-        Work(String part, Channel on, byte[] text) {
+        PartTask(String part, Channel on, byte[] text) {
             this.part = part;
             this.on = on;
             this.text = text;
@@ -47,14 +47,14 @@
 
     private final EventLoop loop;
     private final Audit audit;
-    private final Model model;
+    private final ServiceModel model;
     private final int cell;
     private final int cells;
     private final int reach;
     private final Random random;
     private final Set<Channel> connections = new HashSet<>();
-    private final Map<Channel, Map<String, Work>> byConnection = new HashMap<>();
-    private final ArrayDeque<Work> waiting = new ArrayDeque<>();
+    private final Map<Channel, Map<String, PartTask>> byConnection = new HashMap<>();
+    private final ArrayDeque<PartTask> waiting = new ArrayDeque<>();
     /** What came while it stands still. */
     private final ArrayDeque<Runnable> late = new ArrayDeque<>();
     private Channel listener;
@@ -63,7 +63,7 @@
     private int probesOut;
     private boolean still;
 
-    Reader(EventLoop loop, Audit audit, Model model, int cell, int cells, int reach, long seed) {
+    FakeReader(EventLoop loop, Audit audit, ServiceModel model, int cell, int cells, int reach, long seed) {
         this.loop = loop;
         this.audit = audit;
         this.model = model;
@@ -88,14 +88,14 @@
                     @Override
                     protected void initChannel(Channel c) {
                         c.pipeline().addLast(new LengthFieldBasedFrameDecoder(ByteOrder.LITTLE_ENDIAN, 1 << 20, 0, 4,
-                                0, 4, true), new Frames());
+                                0, 4, true), new FrameHandler());
                     }
                 }).bind(new InetSocketAddress("127.0.0.1", port)).sync().channel();
         port = ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     /** Stands still for so long; what comes meanwhile is read late. */
-    void standStill(long micros) {
+    void stall(long micros) {
         loop.execute(() -> {
             still = true;
             loop.schedule(() -> {
@@ -108,7 +108,7 @@
     }
 
     /** Its process dies: connections end, new ones are refused, until it is back at the same address. */
-    void die(long micros) {
+    void crash(long micros) {
         loop.execute(() -> {
             listener.close();
             Set.copyOf(connections).forEach(Channel::close);
@@ -125,7 +125,7 @@
         });
     }
 
-    private final class Frames extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(ctx.channel());
@@ -137,7 +137,7 @@
             connections.remove(ctx.channel());
             byConnection.remove(ctx.channel()).values().forEach(w -> {
                 w.over = true;
-                audit.over(w.part);
+                audit.recordEnd(w.part);
             });
         }
 
@@ -195,50 +195,50 @@
             int length = Integer.parseInt(words[3]);
             byte[] text = java.util.Arrays.copyOfRange(rest, end + 1, end + 1 + length);
             at = end + 1 + length;
-            Work w = new Work(words[0], on, text);
-            audit.came(w.part, Math.floorMod(cell - Integer.parseInt(words[1]), cells) < reach);
+            PartTask w = new PartTask(words[0], on, text);
+            audit.recordArrival(w.part, Math.floorMod(cell - Integer.parseInt(words[1]), cells) < reach);
             byConnection.get(on).put(w.part, w);
             inTurn(() -> take(w));
         }
     }
 
     private void giveUp(Channel on, String part) {
-        Work w = byConnection.get(on).remove(part);
+        PartTask w = byConnection.get(on).remove(part);
         if (w != null) {
             w.over = true;
-            audit.over(part);
+            audit.recordEnd(part);
         }
     }
 
-    private void take(Work w) {
+    private void take(PartTask w) {
         if (w.over) {
             return;
         }
         if (busy < model.slots()) {
             start(w);
-        } else if (waiting.size() < model.waiting()) {
+        } else if (waiting.size() < model.maxQueued()) {
             waiting.add(w);
         } else {
             answer(w, "503", new byte[0]);
         }
     }
 
-    private void start(Work w) {
+    private void start(PartTask w) {
         busy++;
-        if (model.serviceMicros() == 0) {
+        if (model.meanServiceUs() == 0) {
             done(w);
             return;
         }
-        long takes = (long) (-Math.log(1 - random.nextDouble()) * model.serviceMicros());
+        long takes = (long) (-Math.log(1 - random.nextDouble()) * model.meanServiceUs());
         loop.schedule(() -> inTurn(() -> done(w)), takes, TimeUnit.MICROSECONDS);
     }
 
-    private void done(Work w) {
+    private void done(PartTask w) {
         busy--;
         if (!w.over) {
             answer(w, "200", w.text);
         }
-        for (Work next = waiting.poll(); next != null && busy < model.slots(); next = waiting.poll()) {
+        for (PartTask next = waiting.poll(); next != null && busy < model.slots(); next = waiting.poll()) {
             if (!next.over) {
                 start(next);
                 break;
@@ -247,10 +247,10 @@
     }
 
     /** The value is the part's id and the text that came: whoever gets it can tell whether it is theirs. */
-    private void answer(Work w, String end, byte[] text) {
+    private void answer(PartTask w, String end, byte[] text) {
         w.over = true;
         byConnection.get(w.on).remove(w.part);
-        audit.over(w.part);
+        audit.recordEnd(w.part);
         byte[] line = (w.part + " " + end + " 1 -\n" + (end.equals("200") ? w.part + "/" : ""))
                 .getBytes(StandardCharsets.UTF_8);
         byte[] rest = java.util.Arrays.copyOf(line, line.length + text.length);
--- a/lab/src/main/java/burlford/lab/Lab.java
+++ b/lab/src/main/java/burlford/lab/Lab.java
@@ -5,7 +5,8 @@
 
 /** The command line of the laboratory. Usage errors exit with 2, broken rules with 1. */
 @Command(name = "burlford-lab", mixinStandardHelpOptions = true,
-        subcommands = {CoresCommand.class, ReadersCommand.class, SpreadCommand.class}, description = "Drives coordinators from outside.")
+        subcommands = {CoresCommand.class, ReadersCommand.class, SpreadCommand.class},
+        description = "Drives coordinators from outside.")
 public final class Lab implements Runnable {
 
     private Lab() { }
--- a/lab/src/main/java/burlford/lab/Load.java
+++ b/lab/src/main/java/burlford/lab/LoadGenerator.java
@@ -28,18 +28,21 @@
  * at times drawn ahead (a Poisson stream); one that finds no free connection waits for one, and its time runs from
  * when it was due. Bounded in time and count.
  */
-final class Load {
+final class LoadGenerator {
 
     private static final int PARTS = 2;
     /** A client that hears nothing for so long beyond its deadline has lost its query. */
     private static final long LOST = 2_000_000_000L;
 
     /** What begins in the first second tells of connections that are new, and does not count in times and rates. */
-    static final double WARM = 1;
+    static final double WARM_UP_S = 1;
 
-    /** rate: queries a second, 0: closed. most: queries at most. seconds: those that count. ports: clients go to them in turn. */
-    record Plan(List<Integer> ports, int connections, double rate, double seconds, long most, int deadlineMs, int shards,
-            int threads, long seed) { }
+    /**
+     * rate: queries a second, 0: closed. most: queries at most. seconds: those that count. ports: clients go to them in
+     * turn.
+     */
+    record Plan(List<Integer> ports, int connections, double queriesPerSecond, double seconds, long maxQueries,
+            int deadlineMs, int shards, int threads, long seed) { }
 
     /** What came of it: counts, and the times in microseconds of those answered. */
     static final class Result {
@@ -48,8 +51,8 @@
         long refused;
         long failed;
         long lost;
-        long wrong;
-        long bad;
+        long wrongAnswers;
+        long unexpectedStatuses;
         /** Answered within the seconds that count. */
         long counted;
         double seconds;
@@ -61,8 +64,8 @@
             refused += r.refused;
             failed += r.failed;
             lost += r.lost;
-            wrong += r.wrong;
-            bad += r.bad;
+            wrongAnswers += r.wrongAnswers;
+            unexpectedStatuses += r.unexpectedStatuses;
             counted += r.counted;
             micros.add(r.micros);
         }
@@ -71,12 +74,12 @@
             return counted / seconds;
         }
 
-        double ms(double percentile) {
+        double latencyMs(double percentile) {
             return micros.getValueAtPercentile(percentile) / 1000.0;
         }
     }
 
-    private Load() { }
+    private LoadGenerator() { }
 
     static Result run(Plan plan) throws InterruptedException {
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(plan.threads(), NioIoHandler.newFactory());
@@ -133,7 +136,8 @@
         }
 
         boolean goesOn() {
-            return System.nanoTime() - start < (WARM + plan.seconds()) * 1e9 && result.sent < plan.most() / plan.threads();
+            return System.nanoTime() - start < (WARM_UP_S + plan.seconds()) * 1e9
+                    && result.sent < plan.maxQueries() / plan.threads();
         }
 
         /** Every millisecond: what is due now, and whether clients wait in vain. */
@@ -146,14 +150,14 @@
                 }
                 start = now;
                 nextDue = now;
-                if (plan.rate() == 0) {
+                if (plan.queriesPerSecond() == 0) {
                     List<Client> all = List.copyOf(free);
                     free.clear();
                     all.forEach(this::free);
                 }
             }
-            if (plan.rate() > 0 && goesOn()) {
-                double each = 1e9 * plan.threads() / plan.rate();
+            if (plan.queriesPerSecond() > 0 && goesOn()) {
+                double each = 1e9 * plan.threads() / plan.queriesPerSecond();
                 while (nextDue <= now) {
                     due.add(nextDue);
                     nextDue += (long) (-Math.log(1 - random.nextDouble()) * each);
@@ -178,7 +182,7 @@
         void free(Client c) {
             if (start == 0) {
                 free.add(c);
-            } else if (plan.rate() == 0) {
+            } else if (plan.queriesPerSecond() == 0) {
                 if (goesOn()) {
                     c.ask(System.nanoTime());
                 }
@@ -196,8 +200,9 @@
                 parts.append(i == 0 ? "" : ",").append("{\"id\":").append((first + i) % plan.shards()).append('}');
             }
             String body = "{\"parts\":[" + parts + "],\"expr\":\"" + id + "\"}";
-            return ("POST /api/" + String.format(Locale.ROOT, "%016x", random.nextInt(5000)) + " HTTP/1.1\r\nHost: a\r\n"
-                    + "Req-Id: " + id + "\r\nReq-Kind: look-up\r\nReq-Owner: tenant\r\nReq-Deadline-Ms: "
+            return ("POST /api/" + String.format(Locale.ROOT, "%016x", random.nextInt(5000))
+                    + " HTTP/1.1\r\nHost: a\r\n" + "Req-Id: " + id
+                    + "\r\nReq-Kind: look-up\r\nReq-Owner: tenant\r\nReq-Deadline-Ms: "
                     + plan.deadlineMs() + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                     .getBytes(CharsetUtil.US_ASCII);
         }
@@ -303,7 +308,7 @@
 
         private void answered(String status, String body) {
             if (!asked) {
-                driver.result.wrong++;
+                driver.result.wrongAnswers++;
                 return;
             }
             asked = false;
@@ -311,18 +316,18 @@
             switch (status) {
                 case "200" -> {
                     r.answered++;
-                    if (askedAt - driver.start >= WARM * 1e9) {
+                    if (askedAt - driver.start >= WARM_UP_S * 1e9) {
                         r.micros.recordValue(Math.min(60_000_000, (System.nanoTime() - askedAt) / 1000));
                         r.counted++;
                     }
                     // Each value names the part it was made for, and gives back the text it was made from.
                     boolean right = body.startsWith("{\"exact\":true") && count(body, "\"data\":\"" + id + ".") == PARTS
                             && count(body, "/" + id + "\"") == PARTS;
-                    r.wrong += right ? 0 : 1;
+                    r.wrongAnswers += right ? 0 : 1;
                 }
                 case "429", "503" -> r.refused++;
                 case "502", "504" -> r.failed++;
-                default -> r.bad++;
+                default -> r.unexpectedStatuses++;
             }
         }
 
--- a/lab/src/main/java/burlford/lab/ReadersCommand.java
+++ b/lab/src/main/java/burlford/lab/ReadersCommand.java
@@ -48,11 +48,11 @@
         ObjectMapper json = new ObjectMapper();
         Audit audit = new Audit(mostAttempts);
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
-        List<Reader> readers = new ArrayList<>();
+        List<FakeReader> readers = new ArrayList<>();
         ArrayNode addresses = json.createArrayNode();
         for (int i = 0; i < count; i++) {
-            Reader r = new Reader(loops.next(), audit, new Reader.Model(slots, waiting, service), i % cells, cells, reach,
-                    seed + i);
+            FakeReader r = new FakeReader(loops.next(), audit, new FakeReader.ServiceModel(slots, waiting, service),
+                    i % cells, cells, reach, seed + i);
             r.listen();
             readers.add(r);
             addresses.addObject().put("port", r.port()).put("cell", r.cell());
@@ -73,20 +73,20 @@
     }
 
     private static ObjectNode report(ObjectMapper json, Audit audit) {
-        return json.createObjectNode().put("parts", audit.parts.get()).put("further", audit.further.get())
+        return json.createObjectNode().put("parts", audit.parts.get()).put("further", audit.furtherAttempts.get())
                 .put("probes", audit.probes.get()).put("double_probes", audit.doubleProbes.get())
-                .put("second_copies", audit.secondCopies.get() + audit.stillDouble())
+                .put("second_copies", audit.secondCopies.get() + audit.countOpenSecondCopies())
                 .put("over_limit", audit.overLimit.get()).put("wrong_shard", audit.wrongShard.get());
     }
 
     /** Each second one stands still for 300 ms, and now and then one dies for a second, never two of a cell. */
-    private void fail(List<Reader> readers) {
+    private void fail(List<FakeReader> readers) {
         Random random = new Random(seed);
         try {
             for (int second = 0; ; second++) {
-                readers.get(random.nextInt(count)).standStill(300_000);
+                readers.get(random.nextInt(count)).stall(300_000);
                 if (second % 3 == 0) {
-                    readers.get(random.nextInt(count)).die(1_000_000);
+                    readers.get(random.nextInt(count)).crash(1_000_000);
                 }
                 Thread.sleep(1000 + random.nextInt(200));
             }
--- a/lab/src/main/java/burlford/lab/SpreadCommand.java
+++ b/lab/src/main/java/burlford/lab/SpreadCommand.java
@@ -33,7 +33,8 @@
 
     @Override
     public Integer call() throws IOException {
-        System.out.printf("%-6s %-12s %-22s %-22s%n", "lanes", "connections", "most/mean (median)", "most/mean (worst)");
+        System.out.printf("%-6s %-12s %-22s %-22s%n", "lanes", "connections", "most/mean (median)",
+                "most/mean (worst)");
         for (int n : lanes) {
             for (int c : connections) {
                 double[] worst = new double[times];
@@ -41,7 +42,8 @@
                     worst[i] = Arrays.stream(once(n, c)).max().getAsInt() * (double) n / c;
                 }
                 Arrays.sort(worst);
-                System.out.printf(Locale.ROOT, "%-6d %-12d %-22.2f %-22.2f%n", n, c, worst[times / 2], worst[times - 1]);
+                System.out.printf(Locale.ROOT, "%-6d %-12d %-22.2f %-22.2f%n", n, c, worst[times / 2],
+                        worst[times - 1]);
             }
         }
         return 0;
--- a/lab/src/test/java/burlford/lab/AuditTest.java
+++ b/lab/src/test/java/burlford/lab/AuditTest.java
@@ -16,30 +16,30 @@
     @Test
     void oneAttemptAfterTheOtherIsFineUpToTheLimit() {
         for (int i = 0; i < 3; i++) {
-            audit.came("q.0", true);
-            audit.over("q.0");
+            audit.recordArrival("q.0", true);
+            audit.recordEnd("q.0");
         }
-        assertThat(audit.secondCopies.get() + audit.stillDouble() + audit.overLimit.get()).isZero();
-        audit.came("q.0", true);
+        assertThat(audit.secondCopies.get() + audit.countOpenSecondCopies() + audit.overLimit.get()).isZero();
+        audit.recordArrival("q.0", true);
         assertThat(audit.overLimit.get()).isEqualTo(1);
     }
 
     @Test
     void twoOutAreASecondCopyUnlessTheWordThatGivesOneUpIsOnItsWay() throws InterruptedException {
-        audit.came("q.0", true);
-        audit.came("q.0", true);
-        audit.over("q.0");
+        audit.recordArrival("q.0", true);
+        audit.recordArrival("q.0", true);
+        audit.recordEnd("q.0");
         assertThat(audit.secondCopies.get()).isZero();
-        audit.came("q.0", true);
+        audit.recordArrival("q.0", true);
         longerThanACrossing();
-        assertThat(audit.stillDouble()).isEqualTo(1);
-        audit.over("q.0");
+        assertThat(audit.countOpenSecondCopies()).isEqualTo(1);
+        audit.recordEnd("q.0");
         assertThat(audit.secondCopies.get()).isEqualTo(1);
     }
 
     @Test
     void aPartWhereItsShardIsNotIsSeen() {
-        audit.came("q.0", false);
+        audit.recordArrival("q.0", false);
         assertThat(audit.wrongShard.get()).isEqualTo(1);
     }
 }
