--- a/coordinator/src/test/java/burlford/policy/ClusterSimulation.java
+++ b/coordinator/src/test/java/burlford/policy/ClusterSimulation.java
@@ -14,66 +14,73 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Many instances of the module before the same readers, in virtual time and from one seed: readers of two cores
- * that serve in turn, load snapshots as old as readers take them, instances that share nothing.
+ * Simulates many module instances that send to the same readers, in virtual time and from one seed. Each reader has two
+ * cores and serves parts in the order of their arrival. Probes are answered with load snapshots, which readers take
+ * periodically and which are therefore out of date. Instances share no state. All times are microseconds.
  */
 final class ClusterSimulation {
 
+    /** One millisecond in microseconds. */
     static final long MS = Fixture.MS;
     private static final int CORES = 2;
-    /** Work of a part, and how often a reader takes the snapshot of its load that probes are answered with. */
-    static final long WORK = 30 * MS;
-    static final long SNAPSHOT = 600 * MS;
-    private static final long DELAY = 200 * MS;
-    private static final long WAY = MS;
+    /** Mean time that a warm core takes for a part. */
+    static final long MEAN_WORK_US = 30 * MS;
+    /** Interval at which a reader takes a snapshot of its load. */
+    static final long SNAPSHOT_INTERVAL_US = 600 * MS;
+    /** Time after which a snapshot is used to answer probes. */
+    private static final long SNAPSHOT_DELAY_US = 200 * MS;
+    /** Network delay in one direction. */
+    private static final long ONE_WAY_DELAY_US = MS;
 
     final class Reader {
         final long id;
         final int cell;
-        private final long[] free = new long[CORES];
-        /** Its speed at a time; 1 is a warm one's. */
-        LongToDoubleFunction speed = at -> 1;
-        int held;
+        private final long[] coreFreeAt = new long[CORES];
+        /** Speed as a function of time; 1: as fast as a warm reader. */
+        LongToDoubleFunction speed = time -> 1;
+        int inFlight;
         int maxInFlight;
-        private double[] reported = {};
-        private int served;
-        /** When parts came; and at how many times more had come within a second than the rule allows. */
+        private double[] visibleLoad = {};
+        private int servedSinceSnapshot;
+        /** Times at which parts arrived. */
         final List<Long> partArrivals = new ArrayList<>();
+        /** Number of parts at whose arrival more had arrived within the overload window than the rule allows. */
         int limitViolations;
 
         Reader(long id, int cell) {
             this.id = id;
             this.cell = cell;
-            at(now + random.nextLong(SNAPSHOT), this::snapshot);
+            schedule(now + random.nextLong(SNAPSHOT_INTERVAL_US), this::takeSnapshot);
         }
 
-        private void snapshot() {
-            double[] load = {served * 1e6 / SNAPSHOT, held};
-            served = 0;
-            at(now + DELAY, () -> reported = load);
-            at(now + SNAPSHOT, this::snapshot);
+        private void takeSnapshot() {
+            double[] load = {servedSinceSnapshot * 1e6 / SNAPSHOT_INTERVAL_US, inFlight};
+            servedSinceSnapshot = 0;
+            schedule(now + SNAPSHOT_DELAY_US, () -> visibleLoad = load);
+            schedule(now + SNAPSHOT_INTERVAL_US, this::takeSnapshot);
         }
 
-        private void take(int instance, Aggregator.Send s, int attempt) {
+        private void receive(int instance, Aggregator.Send send, int attempt) {
             partArrivals.add(now);
-            connected.add(List.of((long) instance, id));
-            double most = rules.overloadMultiple() * speed.applyAsDouble(now) * CORES * rules.overloadWindow() / WORK;
-            limitViolations += partArrivals.stream().filter(t -> t > now - rules.overloadWindow()).count() > most ? 1
-                    : 0;
-            held++;
-            maxInFlight = Math.max(maxInFlight, held);
-            int core = free[0] <= free[1] ? 0 : 1;
-            long work = (long) (WORK * (0.5 + random.nextDouble()) / speed.applyAsDouble(now));
-            free[core] = Math.max(now, free[core]) + work;
+            connections.add(List.of((long) instance, id));
+            double limit = rules.overloadMultiple() * speed.applyAsDouble(now) * CORES * rules.overloadWindow()
+                    / MEAN_WORK_US;
+            limitViolations += partArrivals.stream().filter(t -> t > now - rules.overloadWindow()).count() > limit
+                    ? 1 : 0;
+            inFlight++;
+            maxInFlight = Math.max(maxInFlight, inFlight);
+            int core = coreFreeAt[0] <= coreFreeAt[1] ? 0 : 1;
+            long workUs = (long) (MEAN_WORK_US * (0.5 + random.nextDouble()) / speed.applyAsDouble(now));
+            coreFreeAt[core] = Math.max(now, coreFreeAt[core]) + workUs;
             long sentAt = now;
-            waiting.put(List.of((long) instance, s.part(), (long) attempt), now);
-            at(free[core] + WAY, () -> {
-                held--;
-                served++;
-                if (waiting.remove(List.of((long) instance, s.part(), (long) attempt)) == null) {
-                    return; // recalled: its work was done all the same
+            sentAtByAttempt.put(List.of((long) instance, send.part(), (long) attempt), now);
+            schedule(coreFreeAt[core] + ONE_WAY_DELAY_US, () -> {
+                inFlight--;
+                servedSinceSnapshot++;
+                if (sentAtByAttempt.remove(List.of((long) instance, send.part(), (long) attempt)) == null) {
+                    return; // cancelled meanwhile; the reader has done the work all the same
                 }
-                tell(instance, Fixture.attemptEnded(s.part(), attempt, id, Outcome.OK, now - sentAt));
+                deliver(instance, Fixture.attemptEnded(send.part(), attempt, id, Outcome.OK, now - sentAt));
             });
         }
     }
@@ -81,112 +88,122 @@
     long now = Fixture.START_US;
     final SplittableRandom random;
     final Map<Long, Reader> readers = new TreeMap<>();
-    private final List<Decide> instances = new ArrayList<>();
-    private final List<List<Event>> inbox = new ArrayList<>();
-    private final List<Map<Long, Integer>> attempts = new ArrayList<>();
-    private final TreeMap<Long, List<Runnable>> due = new TreeMap<>();
+    private final List<Decide> modules = new ArrayList<>();
+    private final List<List<Event>> pendingEvents = new ArrayList<>();
+    private final List<Map<Long, Integer>> attemptCounts = new ArrayList<>();
+    private final TreeMap<Long, List<Runnable>> scheduledTasks = new TreeMap<>();
     private final int cells;
     private final Aggregator.Rules rules;
-    private long ids = 1;
+    private long nextId = 1;
     int answered;
     int refused;
     int failed;
-    int probes;
-    /** Instances and readers that have had a connection between them: parts went there. */
-    final Set<List<Long>> connected = new HashSet<>();
-    /** Attempts out, by instance, part and number: when they were sent. */
-    private final Map<List<Long>, Long> waiting = new HashMap<>();
+    int probeCount;
+    /** Pairs of an instance and a reader between which parts were sent, so that they have been connected. */
+    final Set<List<Long>> connections = new HashSet<>();
+    /** Send times of attempts in flight, by instance, part and attempt number. */
+    private final Map<List<Long>, Long> sentAtByAttempt = new HashMap<>();
 
     ClusterSimulation(Aggregator.Settings settings, long seed) {
         random = new SplittableRandom(seed);
         cells = settings.cells();
         rules = settings.rules();
         for (int i = 0; i < settings.instances(); i++) {
-            instances.add(new Decide(settings, random.nextLong()));
-            inbox.add(new ArrayList<>());
-            attempts.add(new HashMap<>());
+            modules.add(new Decide(settings, random.nextLong()));
+            pendingEvents.add(new ArrayList<>());
+            attemptCounts.add(new HashMap<>());
         }
     }
 
+    /** Returns the reader with the id; adds it if it is new. */
     Reader reader(long id, int cell) {
         return readers.computeIfAbsent(id, i -> new Reader(i, cell));
     }
 
-    void at(long time, Runnable what) {
-        due.computeIfAbsent(time, t -> new ArrayList<>()).add(what);
+    void schedule(long time, Runnable task) {
+        scheduledTasks.computeIfAbsent(time, t -> new ArrayList<>()).add(task);
     }
 
-    void tell(int instance, Event e) {
-        inbox.get(instance).add(e);
+    void deliver(int instance, Event event) {
+        pendingEvents.get(instance).add(event);
     }
 
-    void deliverToAll(Event e) {
-        inbox.forEach(i -> i.add(e));
+    void deliverToAll(Event event) {
+        pendingEvents.forEach(i -> i.add(event));
     }
 
     /**
-     * A reader is replaced by another, that is cold when it starts, so long from now. Each instance hears of it at a
-     * moment of its own; the old one drains at the same time.
+     * Replaces a reader by a new one, which starts after the given delay at its initial speed and becomes as fast as a
+     * warm reader by the end of its slow start. Each instance is notified at a random time within 400 ms that the new
+     * reader is ready and the old one drains.
      */
-    void replace(long old, long by, long after, double coldFrom, long coldFor) {
-        at(now + after, () -> {
+    void replace(long oldId, long newId, long delay, double initialSpeed, long slowStartDuration) {
+        schedule(now + delay, () -> {
             long startedAt = now;
-            Reader r = reader(by, readers.get(old).cell);
-            r.speed = at -> coldFrom + (1 - coldFrom) * Math.min(1, (at - startedAt) / (double) coldFor);
-            for (int i = 0; i < instances.size(); i++) {
-                int to = i;
-                at(now + random.nextLong(400 * MS), () -> tell(to, new Aggregator.ListUpdate(
-                        Aggregator.ListKind.CHANGES, List.of(listed(old, r.cell, Aggregator.Status.DRAINING, 0),
-                                listed(by, r.cell, Aggregator.Status.READY, startedAt)))));
+            Reader replacement = reader(newId, readers.get(oldId).cell);
+            replacement.speed = time -> initialSpeed
+                    + (1 - initialSpeed) * Math.min(1, (time - startedAt) / (double) slowStartDuration);
+            for (int i = 0; i < modules.size(); i++) {
+                int instance = i;
+                schedule(now + random.nextLong(400 * MS), () -> deliver(instance, new Aggregator.ListUpdate(
+                        Aggregator.ListKind.CHANGES,
+                        List.of(listEntry(oldId, replacement.cell, Aggregator.Status.DRAINING, 0),
+                                listEntry(newId, replacement.cell, Aggregator.Status.READY, startedAt)))));
             }
         });
     }
 
-    private static Aggregator.ListEntry listed(long id, int cell, Aggregator.Status status, long startedAt) {
+    private static Aggregator.ListEntry listEntry(long id, int cell, Aggregator.Status status, long startedAt) {
         return new Aggregator.ListEntry(id, 0, cell, status, 1, startedAt);
     }
 
-    /** Queries of one part for each shard of a few, so many a second at all instances together. */
-    void run(long span, double queriesPerSecond, int parts) {
-        for (long end = now + span; now < end; now += MS) {
-            while (!due.isEmpty() && due.firstKey() <= now) {
-                due.pollFirstEntry().getValue().forEach(Runnable::run);
+    /**
+     * Runs the simulation for the given time.
+     *
+     * @param queriesPerSecond mean rate of queries at all instances together
+     * @param partCount parts of each query, which need different shards
+     */
+    void run(long duration, double queriesPerSecond, int partCount) {
+        for (long end = now + duration; now < end; now += MS) {
+            while (!scheduledTasks.isEmpty() && scheduledTasks.firstKey() <= now) {
+                scheduledTasks.pollFirstEntry().getValue().forEach(Runnable::run);
             }
             if (random.nextDouble() < queriesPerSecond * MS / 1_000_000) {
-                int[] shards = random.ints(0, cells).distinct().limit(parts).toArray();
-                long id = ids;
-                ids += 1 + parts;
-                inbox.get(random.nextInt(instances.size())).addAll(Fixture.queryEvents(id, 0, random.nextLong(),
-                        shards));
+                int[] shards = random.ints(0, cells).distinct().limit(partCount).toArray();
+                long queryId = nextId;
+                nextId += 1 + partCount;
+                pendingEvents.get(random.nextInt(modules.size()))
+                        .addAll(Fixture.queryEvents(queryId, 0, random.nextLong(), shards));
             }
-            for (int i = 0; i < instances.size(); i++) {
-                if (!inbox.get(i).isEmpty()) {
-                    List<Event> events = List.copyOf(inbox.get(i));
-                    inbox.get(i).clear();
-                    carryOut(i, instances.get(i).round(now, events));
+            for (int i = 0; i < modules.size(); i++) {
+                if (!pendingEvents.get(i).isEmpty()) {
+                    List<Event> events = List.copyOf(pendingEvents.get(i));
+                    pendingEvents.get(i).clear();
+                    execute(i, modules.get(i).round(now, events));
                 }
             }
         }
     }
 
-    private void carryOut(int instance, List<Action> actions) {
+    private void execute(int instance, List<Action> actions) {
         for (Action action : actions) {
-            if (action instanceof Aggregator.Send s) {
-                int attempt = attempts.get(instance).merge(s.part(), 1, Integer::sum) - 1;
-                readers.get(s.replica()).take(instance, s, attempt);
-            } else if (action instanceof Aggregator.Probe p) {
-                Reader r = readers.get(p.replica());
-                probes++;
+            if (action instanceof Aggregator.Send send) {
+                int attempt = attemptCounts.get(instance).merge(send.part(), 1, Integer::sum) - 1;
+                readers.get(send.replica()).receive(instance, send, attempt);
+            } else if (action instanceof Aggregator.Probe probe) {
+                Reader reader = readers.get(probe.replica());
+                probeCount++;
                 long sentAt = now;
-                at(now + 2 * WAY, () -> tell(instance, new Aggregator.ProbeEnded(r.id, Outcome.OK, now - sentAt,
-                        r.reported)));
-            } else if (action instanceof Aggregator.Cancel c) {
-                Long sentAt = waiting.remove(List.of((long) instance, c.part(), (long) c.attempt()));
+                schedule(now + 2 * ONE_WAY_DELAY_US, () -> deliver(instance,
+                        new Aggregator.ProbeEnded(reader.id, Outcome.OK, now - sentAt, reader.visibleLoad)));
+            } else if (action instanceof Aggregator.Cancel cancel) {
+                Long sentAt = sentAtByAttempt.remove(List.of((long) instance, cancel.part(), (long) cancel.attempt()));
                 if (sentAt != null) {
-                    tell(instance, Fixture.attemptEnded(c.part(), c.attempt(), 0, Outcome.CANCELLED, now - sentAt));
+                    deliver(instance, Fixture.attemptEnded(cancel.part(), cancel.attempt(), 0, Outcome.CANCELLED,
+                            now - sentAt));
                 }
-            } else if (action instanceof Aggregator.SetAlarm a) {
-                at(now + a.delay(), () -> tell(instance, new Aggregator.Alarm(a.tag())));
+            } else if (action instanceof Aggregator.SetAlarm alarm) {
+                schedule(now + alarm.delay(), () -> deliver(instance, new Aggregator.Alarm(alarm.tag())));
             } else if (action instanceof Aggregator.Answer) {
                 answered++;
             } else if (action instanceof Aggregator.Refuse) {
--- a/coordinator/src/test/java/burlford/policy/DelayedAttemptTest.java
+++ b/coordinator/src/test/java/burlford/policy/DelayedAttemptTest.java
@@ -10,81 +10,90 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts that begin later than they were decided: the rules count them from when they begin. */
+/**
+ * Tests attempts that begin later than they were decided, because their event loop was busy or their connection had to
+ * be opened: the rules count them from the time at which they begin.
+ */
 class DelayedAttemptTest {
 
-    private static final long BUDGET_WINDOW = 5000 * Fixture.MS;
-    private static final long LATE = 200 * Fixture.MS;
-    private static final long STEP = 5 * Fixture.MS;
-    private static final long TIME_LEFT = 6000 * Fixture.MS;
+    private static final long BUDGET_WINDOW_US = 5000 * Fixture.MS;
+    /** Time from the decision on an attempt to its beginning. */
+    private static final long DELAY_US = 200 * Fixture.MS;
+    /** Interval at which the dispatcher is called until it sends. */
+    private static final long STEP_US = 5 * Fixture.MS;
+    private static final long TIME_LEFT_US = 6000 * Fixture.MS;
     private static final List<Dispatcher.Part> PARTS = List.of(new Dispatcher.Part(0, 1, 0, 7));
 
     private final Fixture fixture = Fixture.withDefaults();
-    private long number;
+    private long queryNumber;
 
-    private Dispatcher dispatcher(long startedAt) {
-        Dispatcher d = new Dispatcher(fixture.settings(), 3);
-        d.report(Fixture.START_US, ListKind.CACHED, List.of(new Dispatcher.Reader("s0", 0, 0, Status.READY, 1,
-                startedAt)));
-        return d;
+    private Dispatcher createDispatcher(long readerStartedAt) {
+        Dispatcher dispatcher = new Dispatcher(fixture.settings(), 3);
+        dispatcher.report(Fixture.START_US, ListKind.CACHED,
+                List.of(new Dispatcher.Reader("s0", 0, 0, Status.READY, 1, readerStartedAt)));
+        return dispatcher;
     }
 
-    private Decisions ask(Dispatcher d, long now) {
-        return d.submit(now, ++number, 0, 0, 7, false, TIME_LEFT, PARTS);
+    private Decisions submitQuery(Dispatcher dispatcher, long now) {
+        return dispatcher.submit(now, ++queryNumber, 0, 0, 7, false, TIME_LEFT_US, PARTS);
     }
 
-    /** The further attempt of a query that comes and fails at that time; null where there is none. */
-    private Send furtherAttempt(Dispatcher d, long now) {
-        Send first = ask(d, now).sends().get(0);
-        List<Send> further = d.report(now, first, Outcome.FULL, STEP, false, new double[0]).sends();
+    /** Submits a query whose first attempt is rejected at once; returns its further attempt, or null without one. */
+    private Send sendFurtherAttempt(Dispatcher dispatcher, long now) {
+        Send first = submitQuery(dispatcher, now).sends().get(0);
+        List<Send> further = dispatcher.report(now, first, Outcome.FULL, STEP_US, false, new double[0]).sends();
         return further.isEmpty() ? null : further.get(0);
     }
 
-    /** Guards against one further attempt too many in the window behind one that began late. */
+    /** Guards against one further attempt too many within the budget window of one that began late. */
     @Test
-    void furtherAttemptCountsFromWhenItBegins() {
+    void delayedFurtherAttemptCountsFromItsBeginning() {
         fixture.budgetBase = 1;
-        Dispatcher d = dispatcher(0);
-        Send late = furtherAttempt(d, Fixture.START_US);
-        assertThat(d.tryBegin(Fixture.START_US + LATE, late)).isTrue();
-        assertThat(furtherAttempt(d, Fixture.START_US + BUDGET_WINDOW + STEP)).isNull();
-        assertThat(d.tick(Fixture.START_US + BUDGET_WINDOW + LATE + STEP).sends()).hasSize(1);
+        Dispatcher dispatcher = createDispatcher(0);
+        Send delayed = sendFurtherAttempt(dispatcher, Fixture.START_US);
+        assertThat(dispatcher.tryBegin(Fixture.START_US + DELAY_US, delayed)).isTrue();
+        assertThat(sendFurtherAttempt(dispatcher, Fixture.START_US + BUDGET_WINDOW_US + STEP_US)).isNull();
+        assertThat(dispatcher.tick(Fixture.START_US + BUDGET_WINDOW_US + DELAY_US + STEP_US).sends()).hasSize(1);
     }
 
-    /** Guards against a budget that is spent twice over, since an attempt begins where less is allowed than before. */
+    /**
+     * Guards against exceeding the budget with an attempt that begins at a time when less is allowed than when it was
+     * decided.
+     */
     @Test
-    void furtherAttemptDoesNotBeginWithoutBudget() {
+    void delayedFurtherAttemptDoesNotBeginWithoutBudget() {
         fixture.budgetShare = 0.5;
         fixture.budgetBase = 0;
-        Dispatcher d = dispatcher(0);
-        Send further = furtherAttempt(d, Fixture.START_US);
-        assertThat(d.tryBegin(Fixture.START_US + STEP, further)).isTrue();
-        assertThat(d.tryBegin(Fixture.START_US + BUDGET_WINDOW, further)).isFalse();
+        Dispatcher dispatcher = createDispatcher(0);
+        Send further = sendFurtherAttempt(dispatcher, Fixture.START_US);
+        assertThat(dispatcher.tryBegin(Fixture.START_US + STEP_US, further)).isTrue();
+        assertThat(dispatcher.tryBegin(Fixture.START_US + BUDGET_WINDOW_US, further)).isFalse();
     }
 
-    /**
-     * Guards against parts that follow one another too closely at a reader in slow start, where the first began late.
-     */
+    /** Guards against sending parts too close together to a reader in slow start after the first of them began late. */
     @Test
-    void permitInSlowStartIsWorkedOffFromWhenThePartBegins() {
+    void slowStartBacklogIsWorkedOffFromTheBeginningOfTheAttempt() {
         fixture.overloadWindow = 1000 * Fixture.MS;
-        assertThat(secondSent(LATE)).isGreaterThanOrEqualTo(secondSent(0) + LATE / 2);
+        assertThat(timeUntilSecondSend(DELAY_US)).isGreaterThanOrEqualTo(timeUntilSecondSend(0) + DELAY_US / 2);
     }
 
-    private long secondSent(long late) {
-        Dispatcher d = dispatcher(Fixture.START_US - STEP);
+    /**
+     * Returns the time from the decision on a first attempt, which begins after the given delay, to the second send.
+     */
+    private long timeUntilSecondSend(long delay) {
+        Dispatcher dispatcher = createDispatcher(Fixture.START_US - STEP_US);
         long now = Fixture.START_US;
-        Decisions decisions = ask(d, now);
-        for (; decisions.sends().isEmpty(); decisions = d.tick(now)) {
-            now += STEP;
+        Decisions decisions = submitQuery(dispatcher, now);
+        for (; decisions.sends().isEmpty(); decisions = dispatcher.tick(now)) {
+            now += STEP_US;
         }
-        now += late;
-        assertThat(d.tryBegin(now, decisions.sends().get(0))).isTrue();
-        long from = now - late;
-        decisions = ask(d, now);
-        for (; decisions.sends().isEmpty(); decisions = d.tick(now)) {
-            now += STEP;
+        now += delay;
+        assertThat(dispatcher.tryBegin(now, decisions.sends().get(0))).isTrue();
+        long decidedAt = now - delay;
+        decisions = submitQuery(dispatcher, now);
+        for (; decisions.sends().isEmpty(); decisions = dispatcher.tick(now)) {
+            now += STEP_US;
         }
-        return now - from;
+        return now - decidedAt;
     }
 }
--- a/coordinator/src/test/java/burlford/policy/DispatcherTest.java
+++ b/coordinator/src/test/java/burlford/policy/DispatcherTest.java
@@ -8,17 +8,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Readers are replaced all day: those that went leave nothing behind. */
+/** Tests which readers a dispatcher remembers. */
 class DispatcherTest {
 
     private final Dispatcher dispatcher = new Dispatcher(Fixture.withDefaults().settings(), 3);
 
-    private static Dispatcher.Reader reader(int i, Status status) {
-        return new Dispatcher.Reader("s-" + i, 0, 0, status, 1, 0);
+    private static Dispatcher.Reader reader(int number, Status status) {
+        return new Dispatcher.Reader("s-" + number, 0, 0, status, 1, 0);
     }
 
+    /** Guards against a memory leak: readers are replaced all the time, and names of those gone must not be kept. */
     @Test
-    void forgetsReadersThatWent() {
+    void forgetsReadersThatAreGone() {
         dispatcher.report(0, ListKind.WHOLE, List.of(reader(0, Status.READY)));
         for (int i = 1; i < 1000; i++) {
             dispatcher.report(i, ListKind.CHANGES, List.of(reader(i, Status.READY), reader(i - 1, Status.GONE)));
--- a/coordinator/src/test/java/burlford/policy/FaultHandlingTest.java
+++ b/coordinator/src/test/java/burlford/policy/FaultHandlingTest.java
@@ -19,494 +19,574 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** One test for each kind of trouble that was found: each fails without the defence against it. */
+/** Tests how the decision module handles faults. Each test fails without the code that handles its fault. */
 class FaultHandlingTest {
 
     private static final long MS = Fixture.MS;
+    // Indices of query classes of the fixture.
     private static final int SAFE = 0;
     private static final int KEYED = 1;
 
-    private Decide decide;
+    private Decide module;
 
-    private List<Action> at(long ms, List<? extends Event> events) {
-        return decide.round(Fixture.START_US + ms * MS, new ArrayList<>(events));
+    private List<Action> roundAt(long timeMs, List<? extends Event> events) {
+        return module.round(Fixture.START_US + timeMs * MS, new ArrayList<>(events));
     }
 
-    private void start(Fixture f) {
-        decide = new Decide(f.settings(), 3);
-        at(0, List.of(Fixture.listUpdate(Fixture.server(11, 0), Fixture.server(12, 1), Fixture.server(13, 2))));
+    private void startModule(Fixture fixture) {
+        module = new Decide(fixture.settings(), 3);
+        roundAt(0, List.of(Fixture.listUpdate(Fixture.readyServer(11, 0), Fixture.readyServer(12, 1),
+                Fixture.readyServer(13, 2))));
     }
 
-    private static Fixture probing() {
-        Fixture f = Fixture.withDefaults();
-        f.mayProbe = true;
-        return f;
+    private static Fixture withProbing() {
+        Fixture fixture = Fixture.withDefaults();
+        fixture.mayProbe = true;
+        return fixture;
     }
 
-    private static Fixture oneHolder() {
-        Fixture f = Fixture.withDefaults();
-        f.reach = 1;
-        return f;
+    private static Fixture withOneHolderPerShard() {
+        Fixture fixture = Fixture.withDefaults();
+        fixture.reach = 1;
+        return fixture;
     }
 
-    private static List<Send> sends(List<Action> actions) {
+    private static List<Send> sendsIn(List<Action> actions) {
         return Fixture.filterByType(actions, Send.class);
     }
 
-    /** The queue is reported by probes; a standing or hung server must not get the part meanwhile. */
+    /**
+     * Guards against sending a part to a stalled server: the server is probed first, and as long as it does not answer
+     * the probe, the part goes to another holder.
+     */
     @Test
-    void partGoesElsewhereWhenTheServerAskedDoesNotAnswer() {
-        start(probing());
-        List<Action> first = at(1, Fixture.queryEvents(1, SAFE, 7, 0));
-        assertTrue(sends(first).isEmpty());
-        long asked = Fixture.filterByType(first, Probe.class).get(0).replica();
-        List<Send> sent = new ArrayList<>();
-        for (long t = 5; t < 200 && sent.isEmpty(); t += 5) {
-            List<Event> in = new ArrayList<>();
-            for (Probe p : Fixture.filterByType(first, Probe.class)) {
-                if (p.replica() != asked) {
-                    in.add(new ProbeEnded(p.replica(), Outcome.OK, MS, new double[] {0}));
+    void partIsSentElsewhereWhenTheProbedServerDoesNotAnswer() {
+        startModule(withProbing());
+        List<Action> actions = roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0));
+        assertTrue(sendsIn(actions).isEmpty());
+        long probedServer = Fixture.filterByType(actions, Probe.class).get(0).replica();
+        List<Send> sends = new ArrayList<>();
+        for (long timeMs = 5; timeMs < 200 && sends.isEmpty(); timeMs += 5) {
+            List<Event> events = new ArrayList<>();
+            for (Probe probe : Fixture.filterByType(actions, Probe.class)) {
+                if (probe.replica() != probedServer) {
+                    events.add(new ProbeEnded(probe.replica(), Outcome.OK, MS, new double[] {0}));
                 }
             }
-            first = at(t, in);
-            sent.addAll(sends(first));
+            actions = roundAt(timeMs, events);
+            sends.addAll(sendsIn(actions));
         }
-        assertEquals(1, sent.size());
-        assertNotEquals(asked, sent.get(0).replica());
+        assertEquals(1, sends.size());
+        assertNotEquals(probedServer, sends.get(0).replica());
     }
 
-    /** A probe's work is always the same: one that takes several times the usual shows a slow server at once. */
+    /**
+     * Guards against sending a part to a slow server. Every probe costs the same work, so a probe that takes several
+     * times as long as usual shows that its server is slow.
+     */
     @Test
-    void partGoesElsewhereWhenTheProbeTakesManyTimesTheUsual() {
-        start(probing());
-        long id = 10;
+    void partIsSentElsewhereAfterASlowProbe() {
+        startModule(withProbing());
+        long queryId = 10;
         for (int i = 0; i < 20; i++) {
-            List<Event> in = new ArrayList<>();
-            for (long s = 11; s <= 13; s++) {
-                in.add(new ProbeEnded(s, Outcome.OK, MS, new double[] {0}));
+            List<Event> events = new ArrayList<>();
+            for (long server = 11; server <= 13; server++) {
+                events.add(new ProbeEnded(server, Outcome.OK, MS, new double[] {0}));
             }
-            at(10 + i, in);
+            roundAt(10 + i, events);
         }
-        List<Action> out = at(1000, Fixture.queryEvents(id, SAFE, 7, 0));
-        long asked = Fixture.filterByType(out, Probe.class).get(0).replica();
-        out = at(1005, List.of(new ProbeEnded(asked, Outcome.OK, 6 * MS, new double[] {0})));
-        for (Probe p : Fixture.filterByType(out, Probe.class)) {
-            assertNotEquals(asked, p.replica());
-            out = at(1010, List.of(new ProbeEnded(p.replica(), Outcome.OK, MS, new double[] {0})));
+        List<Action> actions = roundAt(1000, Fixture.queryEvents(queryId, SAFE, 7, 0));
+        long slowServer = Fixture.filterByType(actions, Probe.class).get(0).replica();
+        actions = roundAt(1005, List.of(new ProbeEnded(slowServer, Outcome.OK, 6 * MS, new double[] {0})));
+        for (Probe probe : Fixture.filterByType(actions, Probe.class)) {
+            assertNotEquals(slowServer, probe.replica());
+            actions = roundAt(1010, List.of(new ProbeEnded(probe.replica(), Outcome.OK, MS, new double[] {0})));
         }
-        assertEquals(1, sends(out).size());
-        assertNotEquals(asked, sends(out).get(0).replica());
+        assertEquals(1, sendsIn(actions).size());
+        assertNotEquals(slowServer, sendsIn(actions).get(0).replica());
     }
 
-    /** A queue reported once says little of the queue seconds later. */
+    /** Guards against avoiding a server because of a long queue that it reported seconds ago. */
     @Test
-    void oldReportFades() {
-        start(Fixture.withDefaults());
-        List<Event> in = new ArrayList<>();
+    void effectOfAnOldLoadReportFades() {
+        startModule(Fixture.withDefaults());
+        List<Event> events = new ArrayList<>();
         for (long s = 11; s <= 13; s++) {
-            in.add(new ProbeEnded(s, Outcome.OK, MS, new double[] {s == 11 ? 9 : 1}));
+            events.add(new ProbeEnded(s, Outcome.OK, MS, new double[] {s == 11 ? 9 : 1}));
         }
-        at(1, in);
-        Map<Long, Integer> to = new HashMap<>();
+        roundAt(1, events);
+        Map<Long, Integer> sendsByServer = new HashMap<>();
         for (int i = 0; i < 30; i++) {
-            for (Send s : sends(at(8000 + i, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)))) {
-                to.merge(s.replica(), 1, Integer::sum);
+            for (Send s : sendsIn(roundAt(8000 + i, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)))) {
+                sendsByServer.merge(s.replica(), 1, Integer::sum);
             }
         }
-        assertTrue(to.getOrDefault(11L, 0) >= 7, "still kept away: " + to);
+        assertTrue(sendsByServer.getOrDefault(11L, 0) >= 7, "too few parts at server 11: " + sendsByServer);
     }
 
-    /** Every part of it was reset and none answered: the query is at fault, and more servers must not be lost. */
+    /**
+     * Guards against losing more servers to a query that crashes them. If each of its parts ends with a broken
+     * connection and none is answered, the query is at fault: it is not sent again, nor is another one with its key.
+     */
     @Test
-    void queryWhosePartsAreAllResetIsGivenUpAndItsKeyTurnedAway() {
-        start(Fixture.withDefaults());
-        List<Send> sent = sends(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
-        List<Event> resets = new ArrayList<>();
-        for (Send s : sent) {
-            resets.add(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.DROPPED, 40 * MS));
+    void queryThatBreaksEveryConnectionIsRefusedAndSoIsItsKey() {
+        startModule(Fixture.withDefaults());
+        List<Send> sends = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
+        List<Event> drops = new ArrayList<>();
+        for (Send s : sends) {
+            drops.add(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.DROPPED, 40 * MS));
         }
-        List<Action> out = at(41, resets);
-        assertTrue(sends(out).isEmpty(), "sent again: " + out);
-        assertEquals(1, Fixture.filterByType(out, Refuse.class).size());
-        assertEquals(1, Fixture.filterByType(at(300, Fixture.queryEvents(10, SAFE, 7, 0, 1, 2)), Refuse.class).size());
-        assertEquals(3, sends(at(301, Fixture.queryEvents(20, SAFE, 8, 0, 1, 2))).size());
+        List<Action> actions = roundAt(41, drops);
+        assertTrue(sendsIn(actions).isEmpty(), "sent again: " + actions);
+        assertEquals(1, Fixture.filterByType(actions, Refuse.class).size());
+        assertEquals(1,
+                Fixture.filterByType(roundAt(300, Fixture.queryEvents(10, SAFE, 7, 0, 1, 2)), Refuse.class).size());
+        assertEquals(3, sendsIn(roundAt(301, Fixture.queryEvents(20, SAFE, 8, 0, 1, 2))).size());
     }
 
-    /** Queries that silent readers kept to the end must not have all others shed for seconds. */
+    /**
+     * Guards against refusing all queries for seconds after slow servers held some of them almost up to their aim: the
+     * overrun of those queries must not raise the expected time of all others without bound.
+     */
     @Test
-    void queriesKeptBySilentReadersDoNotShedAllOthers() {
-        start(oneHolder());
+    void queriesHeldBySlowServersDoNotCauseOthersToBeRefused() {
+        startModule(withOneHolderPerShard());
         for (int i = 0; i < 200; i++) {
-            long number = 10L * (i + 1);
-            for (Send s : sends(at(10000L * i + 1, Fixture.queryEvents(number, SAFE, i, 0)))) {
-                at(10000L * i + 21, List.of(Fixture.attemptEnded(s.part(), 0, 11, Outcome.OK, 20 * MS)));
+            long queryId = 10L * (i + 1);
+            for (Send s : sendsIn(roundAt(10000L * i + 1, Fixture.queryEvents(queryId, SAFE, i, 0)))) {
+                roundAt(10000L * i + 21, List.of(Fixture.attemptEnded(s.part(), 0, 11, Outcome.OK, 20 * MS)));
             }
         }
-        long t = 10000L * 200;
-        List<Event> late = new ArrayList<>();
+        long timeMs = 10000L * 200;
+        List<Event> lateEnds = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            sends(at(t, Fixture.queryEvents(10000L + 10 * i, SAFE, i, 0)))
-                    .forEach(s -> late.add(Fixture.attemptEnded(s.part(), 0, 11, Outcome.OK, 1900 * MS)));
+            sendsIn(roundAt(timeMs, Fixture.queryEvents(10000L + 10 * i, SAFE, i, 0))).forEach(s ->
+                    lateEnds.add(Fixture.attemptEnded(s.part(), 0, 11, Outcome.OK, 1900 * MS)));
         }
-        at(t + 1900, late);
-        assertEquals(1, sends(at(t + 1901, Fixture.queryEvents(90000L, SAFE, 7, 0))).size());
+        roundAt(timeMs + 1900, lateEnds);
+        assertEquals(1, sendsIn(roundAt(timeMs + 1901, Fixture.queryEvents(90000L, SAFE, 7, 0))).size());
     }
 
-    /** Some clients wait less than others: with readers idle their queries are no later tries that come too late. */
+    /**
+     * Guards against refusing the queries of clients that wait less long than others: a short time left looks like a
+     * late retry, but while servers are idle the query is served like a first try.
+     */
     @Test
-    void shortTimeLeftIsServedWhileThereIsRoom() {
-        start(Fixture.withDefaults());
+    void queryWithLittleTimeLeftIsServedWhileServersAreIdle() {
+        startModule(Fixture.withDefaults());
         for (int i = 0; i < 20; i++) {
-            for (Send s : sends(at(100L * i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)))) {
-                at(100L * i + 21, List.of(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, 20 * MS)));
+            for (Send send : sendsIn(roundAt(100L * i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)))) {
+                roundAt(100L * i + 21, List.of(Fixture.attemptEnded(send.part(), 0, send.replica(), Outcome.OK,
+                        20 * MS)));
             }
         }
-        List<Event> hasty = new ArrayList<>(List.of(new Aggregator.QueryArrived(900, 900, SAFE, 1, 600 * MS, 0, false,
-                7, 0), new Aggregator.PartArrived(901, 900, 0, 1, 0, 7)));
-        assertEquals(1, sends(at(3000, hasty)).size());
+        List<Event> shortQuery = new ArrayList<>(List.of(
+                new Aggregator.QueryArrived(900, 900, SAFE, 1, 600 * MS, 0, false, 7, 0),
+                new Aggregator.PartArrived(901, 900, 0, 1, 0, 7)));
+        assertEquals(1, sendsIn(roundAt(3000, shortQuery)).size());
     }
 
-    /** One part reset, the other failed: nothing is sent again, so the client is not kept until its time is up. */
+    /**
+     * Guards against making a client wait until its deadline although nothing more is sent for its query: the
+     * connection of one part broke, the other part failed.
+     */
     @Test
-    void queryThatSendsNothingAgainIsAnsweredAtOnce() {
-        start(Fixture.withDefaults());
-        List<Send> sent = sends(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1)));
-        at(20, List.of(Fixture.attemptEnded(sent.get(0).part(), 0, sent.get(0).replica(), Outcome.DROPPED, MS)));
-        List<Action> out = at(30, List.of(Fixture.attemptEnded(sent.get(1).part(), 0, sent.get(1).replica(),
-                Outcome.ERROR, MS)));
-        assertEquals(1, Fixture.filterByType(out, Refuse.class).size(), "" + out);
+    void suspectQueryWithNothingInFlightIsRefusedAtOnce() {
+        startModule(Fixture.withDefaults());
+        List<Send> sends = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0, 1)));
+        roundAt(20, List.of(Fixture.attemptEnded(sends.get(0).part(), 0, sends.get(0).replica(), Outcome.DROPPED, MS)));
+        List<Action> actions = roundAt(30,
+                List.of(Fixture.attemptEnded(sends.get(1).part(), 0, sends.get(1).replica(), Outcome.ERROR, MS)));
+        assertEquals(1, Fixture.filterByType(actions, Refuse.class).size(), "" + actions);
     }
 
-    /** A victim of another's crash is told from it by its answered parts, and goes on. */
+    /**
+     * Guards against giving up a query whose connection broke because another query crashed the server: once one of
+     * its parts is answered it is no longer suspect, and the dropped part is sent again.
+     */
     @Test
-    void resetPartIsSentAgainOnceAnotherWasAnswered() {
-        start(Fixture.withDefaults());
-        List<Send> sent = sends(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
-        assertTrue(sends(at(20, List.of(Fixture.attemptEnded(2, 0, sent.get(0).replica(), Outcome.DROPPED, MS))))
-                .isEmpty());
-        List<Send> again = sends(at(60, List.of(Fixture.attemptEnded(3, 0, sent.get(1).replica(), Outcome.OK,
-                59 * MS))));
-        assertEquals(1, again.size());
-        assertEquals(2, again.get(0).part());
-    }
-
-    /** While servers die unannounced, a query that kills must not take one server a part. */
+    void droppedPartIsSentAgainOnceAnotherPartIsAnswered() {
+        startModule(Fixture.withDefaults());
+        List<Send> sends = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
+        assertTrue(sendsIn(roundAt(20,
+                List.of(Fixture.attemptEnded(2, 0, sends.get(0).replica(), Outcome.DROPPED, MS)))).isEmpty());
+        List<Send> furtherSends = sendsIn(roundAt(60,
+                List.of(Fixture.attemptEnded(3, 0, sends.get(1).replica(), Outcome.OK, 59 * MS))));
+        assertEquals(1, furtherSends.size());
+        assertEquals(2, furtherSends.get(0).part());
+    }
+
+    /**
+     * Guards against a query that crashes one server for each of its parts. While servers restart unannounced, one
+     * part is sent first, and the others follow once it is answered.
+     */
     @Test
-    void onePartLeadsWhileServersDie() {
-        start(Fixture.withDefaults());
-        at(1, List.of(new Aggregator.ListUpdate(Aggregator.ListKind.CHANGES,
+    void onePartIsSentAheadOfTheOthersWhileServersCrash() {
+        startModule(Fixture.withDefaults());
+        roundAt(1, List.of(new Aggregator.ListUpdate(Aggregator.ListKind.CHANGES,
                 List.of(new ListEntry(12, 0, 1, Status.READY, 1, Fixture.START_US)))));
-        List<Send> sent = sends(at(2, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
-        assertEquals(1, sent.size());
-        Send s = sent.get(0);
-        assertEquals(2, sends(at(60, List.of(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, 58 * MS))))
-                .size());
+        List<Send> sends = sendsIn(roundAt(2, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
+        assertEquals(1, sends.size());
+        Send send = sends.get(0);
+        assertEquals(2, sendsIn(roundAt(60,
+                List.of(Fixture.attemptEnded(send.part(), 0, send.replica(), Outcome.OK, 58 * MS)))).size());
     }
 
-    /** A server silent for one class and sound for the other is kept out for the one only. */
+    /** Guards against avoiding a server for all query classes when only the parts of one class fail there. */
     @Test
-    void silenceForOneClassDoesNotKeepTheServerFromOthers() {
-        start(Fixture.withDefaults());
-        long id = 100;
-        int[] to = new int[2];
+    void failuresOfOneClassDoNotKeepOtherClassesFromTheServer() {
+        startModule(Fixture.withDefaults());
+        long queryId = 100;
+        int[] sentToServer11 = new int[2];
         for (int i = 0; i < 40; i++) {
-            List<Event> in = new ArrayList<>();
-            Map<Long, Integer> classOf = new HashMap<>();
+            List<Event> events = new ArrayList<>();
+            Map<Long, Integer> classByPart = new HashMap<>();
             for (int k = 0; k < 6; k++) {
-                in.addAll(Fixture.queryEvents(id, k == 0 ? SAFE : KEYED, i, 0));
-                classOf.put(id + 1, k == 0 ? SAFE : KEYED);
-                id += 10;
+                events.addAll(Fixture.queryEvents(queryId, k == 0 ? SAFE : KEYED, i, 0));
+                classByPart.put(queryId + 1, k == 0 ? SAFE : KEYED);
+                queryId += 10;
             }
             List<Event> ends = new ArrayList<>();
-            for (Send s : sends(at(200L * i + 1, in))) {
-                int cls = classOf.get(s.part());
-                boolean lost = s.replica() == 11 && cls == SAFE;
-                to[cls] += i >= 10 && s.replica() == 11 ? 1 : 0;
-                ends.add(Fixture.attemptEnded(s.part(), 0, s.replica(), lost ? Outcome.ERROR : Outcome.OK, 190 * MS));
-                ends.add(new Aggregator.ClientLeft(s.part() - 1));
+            for (Send send : sendsIn(roundAt(200L * i + 1, events))) {
+                int queryClass = classByPart.get(send.part());
+                boolean fails = send.replica() == 11 && queryClass == SAFE;
+                sentToServer11[queryClass] += i >= 10 && send.replica() == 11 ? 1 : 0;
+                ends.add(Fixture.attemptEnded(send.part(), 0, send.replica(), fails ? Outcome.ERROR : Outcome.OK,
+                        190 * MS));
+                ends.add(new Aggregator.ClientLeft(send.part() - 1));
             }
-            at(200L * i + 191, ends);
+            roundAt(200L * i + 191, ends);
         }
-        assertTrue(to[SAFE] <= 3, "sent to the silent server: " + to[SAFE]);
-        assertTrue(to[KEYED] >= 30, "kept from the sound class: " + to[KEYED]);
+        assertTrue(sentToServer11[SAFE] <= 3, "failing class sent to server 11: " + sentToServer11[SAFE]);
+        assertTrue(sentToServer11[KEYED] >= 30, "other class sent to server 11: " + sentToServer11[KEYED]);
     }
 
-    /** A holder that leaves must not move the home of keys whose home stays. */
+    /** Guards against moving the home of a key when a server other than its home leaves. */
     @Test
-    void homesStayWhenAnotherHolderLeaves() {
-        int moved = 0;
+    void homeOfAKeyStaysWhenAnotherHolderLeaves() {
+        int movedKeys = 0;
         for (long key = 1; key <= 60; key++) {
-            start(Fixture.withDefaults());
-            long before = sends(at(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica();
-            long gone = before == 13 ? 12 : 13;
-            decide = new Decide(Fixture.withDefaults().settings(), 5);
-            List<ListEntry> left = new ArrayList<>();
-            for (long s = 11; s <= 13; s++) {
-                if (s != gone) {
-                    left.add(Fixture.server(s, (int) s - 11));
+            startModule(Fixture.withDefaults());
+            long home = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica();
+            long goneServer = home == 13 ? 12 : 13;
+            module = new Decide(Fixture.withDefaults().settings(), 5);
+            List<ListEntry> remaining = new ArrayList<>();
+            for (long server = 11; server <= 13; server++) {
+                if (server != goneServer) {
+                    remaining.add(Fixture.readyServer(server, (int) server - 11));
                 }
             }
-            at(0, List.of(Fixture.listUpdate(left.toArray(ListEntry[]::new))));
-            moved += sends(at(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica() == before ? 0 : 1;
+            roundAt(0, List.of(Fixture.listUpdate(remaining.toArray(ListEntry[]::new))));
+            movedKeys += sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica() == home ? 0 : 1;
         }
-        assertEquals(0, moved);
+        assertEquals(0, movedKeys);
     }
 
-    /** An answer given at the aim reaches the client late: a partial one goes out just before it. */
+    /** Guards against giving a partial answer only at the aim: it would reach the client after it. */
     @Test
-    void partialAnswerIsGivenInTimeForTheAim() {
-        for (double late : new double[] {0, 0.1}) {
-            Fixture f = Fixture.withDefaults();
-            f.floor = 0.6;
-            f.lateWorth = late;
-            start(f);
-            List<Send> sent = sends(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
-            List<Event> in = new ArrayList<>();
-            for (Send s : sent.subList(0, 2)) {
-                in.add(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, 99 * MS));
+    void partialAnswerIsGivenShortlyBeforeTheAim() {
+        for (double lateWorth : new double[] {0, 0.1}) {
+            Fixture fixture = Fixture.withDefaults();
+            fixture.floor = 0.6;
+            fixture.lateWorth = lateWorth;
+            startModule(fixture);
+            List<Send> sends = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
+            List<Event> events = new ArrayList<>();
+            for (Send s : sends.subList(0, 2)) {
+                events.add(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, 99 * MS));
             }
-            List<Action> out = at(100, in);
-            long t = 100;
-            while (Fixture.filterByType(out, Aggregator.Answer.class).isEmpty() && t < 3000) {
-                assertTrue(Fixture.filterByType(out, Refuse.class).isEmpty(), "refused what may be answered in part");
-                t += 5;
-                out = at(t, List.of());
+            List<Action> actions = roundAt(100, events);
+            long timeMs = 100;
+            while (Fixture.filterByType(actions, Aggregator.Answer.class).isEmpty() && timeMs < 3000) {
+                assertTrue(Fixture.filterByType(actions, Refuse.class).isEmpty(),
+                        "refused although a partial answer is allowed");
+                timeMs += 5;
+                actions = roundAt(timeMs, List.of());
             }
-            assertTrue(t > 1700 && t < 1990, "answered at " + t + " ms, the aim is 2001");
-            assertEquals(false, Fixture.filterByType(out, Aggregator.Answer.class).get(0).whole());
+            assertTrue(timeMs > 1700 && timeMs < 1990, "answered at " + timeMs + " ms, the aim is 2001");
+            assertEquals(false, Fixture.filterByType(actions, Aggregator.Answer.class).get(0).whole());
         }
     }
 
-    /** Rounds of idle time and then a query: counts the sends whose server's idle connection was closed first. */
-    private int closedFirst(int rounds, boolean newOnesAnswer) {
-        start(Fixture.withDefaults());
+    /**
+     * Submits a query of three parts in each round, with idle time between rounds. From the fourth round on, parts sent
+     * on idle connections are not answered.
+     *
+     * @param newConnectionsAnswer whether parts are answered that are sent after closing idle connections
+     * @return the number of parts in the last five rounds for which idle connections were closed first
+     */
+    private int countSendsWithIdleConnectionsClosed(int rounds, boolean newConnectionsAnswer) {
+        startModule(Fixture.withDefaults());
         int closed = 0;
         for (int i = 0; i < rounds; i++) {
-            long t = 3000L * i + 1;
-            List<Action> out = at(t, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0, 1, 2));
+            long timeMs = 3000L * i + 1;
+            List<Action> actions = roundAt(timeMs, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0, 1, 2));
             List<Event> ends = new ArrayList<>();
-            for (Send s : sends(out)) {
-                boolean drop = out.indexOf(new Aggregator.CloseIdleConnections(s.replica())) >= 0
-                        && out.indexOf(new Aggregator.CloseIdleConnections(s.replica())) < out.indexOf(s);
-                closed += drop && i >= rounds - 5 ? 1 : 0;
-                if (i < 3 || drop && newOnesAnswer) {
-                    ends.add(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, 199 * MS));
+            for (Send send : sendsIn(actions)) {
+                boolean closesFirst = actions.indexOf(new Aggregator.CloseIdleConnections(send.replica())) >= 0
+                        && actions.indexOf(new Aggregator.CloseIdleConnections(send.replica())) < actions.indexOf(send);
+                closed += closesFirst && i >= rounds - 5 ? 1 : 0;
+                if (i < 3 || closesFirst && newConnectionsAnswer) {
+                    ends.add(Fixture.attemptEnded(send.part(), 0, send.replica(), Outcome.OK, 199 * MS));
                 }
             }
-            at(t + 199, ends);
-            for (long w = 225; w < 2100; w += 25) {
-                for (Aggregator.Cancel c : Fixture.filterByType(at(t + w, List.of()), Aggregator.Cancel.class)) {
-                    at(t + w, List.of(Fixture.attemptEnded(c.part(), c.attempt(), 0, Outcome.CANCELLED, w * MS)));
+            roundAt(timeMs + 199, ends);
+            for (long elapsedMs = 225; elapsedMs < 2100; elapsedMs += 25) {
+                for (Aggregator.Cancel cancel : Fixture.filterByType(roundAt(timeMs + elapsedMs, List.of()),
+                        Aggregator.Cancel.class)) {
+                    roundAt(timeMs + elapsedMs, List.of(Fixture.attemptEnded(cancel.part(), cancel.attempt(), 0,
+                            Outcome.CANCELLED, elapsedMs * MS)));
                 }
             }
         }
         return closed;
     }
 
-    /** What is sent after a pause gets no answer while new connections are served: they are closed before use. */
+    /**
+     * Guards against losing parts on idle connections that were lost without notice: parts sent on them get no answer,
+     * while parts on new connections are answered.
+     */
     @Test
-    void idleConnectionsThatWereDroppedUnseenAreClosedBeforeUse() {
-        int closed = closedFirst(20, true);
-        assertTrue(closed >= 10, "closed before use: " + closed);
+    void idleConnectionsLostWithoutNoticeAreClosedBeforeUse() {
+        int closed = countSendsWithIdleConnectionsClosed(20, true);
+        assertTrue(closed >= 10, "parts sent after closing idle connections: " + closed);
     }
 
-    /** Servers that swallow everything do so on new connections too: closing would only cost. */
+    /** Guards against closing connections for nothing: silent servers do not answer on new connections either. */
     @Test
-    void silentServersAreNotTakenForDroppedConnections() {
-        int closed = closedFirst(20, false);
-        assertTrue(closed <= 4, "closed before use: " + closed);
+    void silentServersAreNotMistakenForLostConnections() {
+        int closed = countSendsWithIdleConnectionsClosed(20, false);
+        assertTrue(closed <= 4, "parts sent after closing idle connections: " + closed);
     }
 
-    /** Busy servers whose reports never come show by what parts took there: what would be late is turned away. */
+    /**
+     * Guards against admitting queries that a busy server would answer late. Its reports show no queue, so only the
+     * time that parts take there shows that it is slow.
+     */
     @Test
-    void admissionCountsHowSlowServersProved() {
-        Fixture f = oneHolder();
-        f.lateWorth = 0.1;
-        start(f);
-        int slowTaken = 0;
+    void admissionAccountsForMeasuredSlownessOfServers() {
+        Fixture fixture = withOneHolderPerShard();
+        fixture.lateWorth = 0.1;
+        startModule(fixture);
+        int sentToSlowServer = 0;
         for (int i = 0; i < 60; i++) {
             boolean slow = i >= 30 && i % 3 == 0;
-            long t = 20L * i + 1;
-            for (Send s : sends(at(t, Fixture.queryEvents(10L * (i + 1), SAFE, i, slow ? 0 : 1 + i % 2)))) {
-                slowTaken += slow && i >= 48 ? 1 : 0;
-                at(t + 1, List.of(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.OK, slow ? 3500 * MS
-                        : 250 * MS, 0)));
+            long timeMs = 20L * i + 1;
+            for (Send send : sendsIn(roundAt(timeMs,
+                    Fixture.queryEvents(10L * (i + 1), SAFE, i, slow ? 0 : 1 + i % 2)))) {
+                sentToSlowServer += slow && i >= 48 ? 1 : 0;
+                roundAt(timeMs + 1, List.of(Fixture.attemptEnded(send.part(), 0, send.replica(), Outcome.OK,
+                        slow ? 3500 * MS : 250 * MS, 0)));
             }
         }
-        assertTrue(slowTaken <= 2, "sent to the slow server: " + slowTaken + " of 4");
+        assertTrue(sentToSlowServer <= 2, "queries sent to the slow server: " + sentToSlowServer + " of 4");
     }
 
-    /** Turned away as full is a report of a long queue: later queries that need that server are shed at once. */
+    /**
+     * Guards against sending more parts to a server that has just rejected some as full: this counts as a report of a
+     * long queue, so later queries that need the server are refused at once.
+     */
     @Test
-    void fullCountsAsAReportOfALongQueue() {
-        Fixture f = oneHolder();
-        start(f);
-        int sent = 0;
+    void outcomeFullCountsAsAReportOfALongQueue() {
+        Fixture fixture = withOneHolderPerShard();
+        startModule(fixture);
+        int sendsToFullServer = 0;
         for (int i = 0; i < 6; i++) {
-            List<Send> next = sends(at(10L * i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)));
-            for (int k = 1; !next.isEmpty(); k++) {
-                sent += i >= 4 ? 1 : 0;
-                Send s = next.get(0);
-                next = sends(at(10L * i + 1 + k, List.of(Fixture.attemptEnded(s.part(), k - 1, 11, Outcome.FULL, MS))));
+            List<Send> sends = sendsIn(roundAt(10L * i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)));
+            for (int k = 1; !sends.isEmpty(); k++) {
+                sendsToFullServer += i >= 4 ? 1 : 0;
+                Send send = sends.get(0);
+                sends = sendsIn(roundAt(10L * i + 1 + k,
+                        List.of(Fixture.attemptEnded(send.part(), k - 1, 11, Outcome.FULL, MS))));
             }
         }
-        assertEquals(0, sent, "sent to the full server");
+        assertEquals(0, sendsToFullServer, "parts sent to the full server");
     }
 
-    /** Parts turned away one after the other doubled the queue each time, to 350,000 parts: shed for good. */
+    /**
+     * Guards against refusing queries for good. Each part that a full server rejected, one after the other, doubled
+     * the queue that was assumed there, up to 350,000 parts.
+     */
     @Test
-    void queueOfAServerThatTurnsAwayIsBounded() {
-        Fixture f = oneHolder();
-        start(f);
-        List<Send> out = new ArrayList<>();
+    void assumedQueueOfAFullServerIsBounded() {
+        Fixture fixture = withOneHolderPerShard();
+        startModule(fixture);
+        List<Send> inFlight = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            out.addAll(sends(at(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0))));
+            inFlight.addAll(sendsIn(roundAt(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0))));
         }
         Map<Long, Integer> attempts = new HashMap<>();
-        for (int k = 0; !out.isEmpty(); k++) {
-            Send s = out.remove(out.size() - 1);
-            int attempt = attempts.merge(s.part(), 1, Integer::sum) - 1;
-            out.addAll(sends(at(20 + k, List.of(Fixture.attemptEnded(s.part(), attempt, 11, Outcome.FULL, MS)))));
+        for (int k = 0; !inFlight.isEmpty(); k++) {
+            Send send = inFlight.remove(inFlight.size() - 1);
+            int attempt = attempts.merge(send.part(), 1, Integer::sum) - 1;
+            inFlight.addAll(sendsIn(roundAt(20 + k,
+                    List.of(Fixture.attemptEnded(send.part(), attempt, 11, Outcome.FULL, MS)))));
         }
-        at(6000, List.of());
-        assertEquals(1, sends(at(6001, Fixture.queryEvents(1000, SAFE, 100, 0))).size());
+        roundAt(6000, List.of());
+        assertEquals(1, sendsIn(roundAt(6001, Fixture.queryEvents(1000, SAFE, 100, 0))).size());
     }
 
     /**
-     * Parts turned away together double the queue once: of a server that held four it is not believed to be hundreds.
+     * Guards against assuming a queue of hundreds at a server that held four parts: parts that are rejected together
+     * double the assumed queue only once.
      */
     @Test
-    void partsTurnedAwayTogetherAreOneReport() {
-        Fixture f = oneHolder();
-        f.maxAttempts = 1;
-        start(f);
-        List<Send> sent = new ArrayList<>();
+    void partsRejectedTogetherCountAsOneReport() {
+        Fixture fixture = withOneHolderPerShard();
+        fixture.maxAttempts = 1;
+        startModule(fixture);
+        List<Send> sends = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            sent.addAll(sends(at(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0))));
+            sends.addAll(sendsIn(roundAt(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0))));
         }
-        sent.forEach(s -> at(20, List.of(Fixture.attemptEnded(s.part(), 0, 11, Outcome.FULL, MS))));
-        assertEquals(1, sends(at(30, Fixture.queryEvents(100, SAFE, 100, 0))).size());
+        sends.forEach(s -> roundAt(20, List.of(Fixture.attemptEnded(s.part(), 0, 11, Outcome.FULL, MS))));
+        assertEquals(1, sendsIn(roundAt(30, Fixture.queryEvents(100, SAFE, 100, 0))).size());
     }
 
-    /** A server that errs at once looks idle and kept its load low: all attempts of a part went to it within 2 ms. */
+    /**
+     * Guards against sending all attempts of a part to the same server. One that fails parts at once has a low load
+     * and looks idle, so all attempts of a part went to it within 2 ms.
+     */
     @Test
     void furtherAttemptsGoToHoldersThatHaveNotFailedThePart() {
-        Fixture f = Fixture.withDefaults();
-        start(f);
-        Map<Long, Long> failed = new HashMap<>();
+        Fixture fixture = Fixture.withDefaults();
+        startModule(fixture);
+        Map<Long, Long> failuresByPart = new HashMap<>();
         for (int i = 0; i < 30; i++) {
-            List<Send> next = sends(at(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)));
-            if (i % 3 > 0 && next.get(0).replica() == 11) {
-                at(i + 1, List.of(Fixture.attemptEnded(next.get(0).part(), 0, 11, Outcome.OK, 20 * MS)));
-                next = List.of();
+            List<Send> sends = sendsIn(roundAt(i + 1, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)));
+            if (i % 3 > 0 && sends.get(0).replica() == 11) {
+                roundAt(i + 1, List.of(Fixture.attemptEnded(sends.get(0).part(), 0, 11, Outcome.OK, 20 * MS)));
+                sends = List.of();
             }
-            for (int k = 0; !next.isEmpty() && next.get(0).replica() == 11; k++) {
-                failed.merge(next.get(0).part(), 1L, Long::sum);
-                next = sends(at(i + 1, List.of(Fixture.attemptEnded(next.get(0).part(), k, 11, Outcome.ERROR, MS))));
+            for (int k = 0; !sends.isEmpty() && sends.get(0).replica() == 11; k++) {
+                failuresByPart.merge(sends.get(0).part(), 1L, Long::sum);
+                sends = sendsIn(roundAt(i + 1,
+                        List.of(Fixture.attemptEnded(sends.get(0).part(), k, 11, Outcome.ERROR, MS))));
             }
         }
-        assertTrue(!failed.isEmpty() && failed.values().stream().allMatch(n -> n == 1), "" + failed);
+        assertTrue(!failuresByPart.isEmpty() && failuresByPart.values().stream().allMatch(n -> n == 1),
+                "failures of server 11 by part: " + failuresByPart);
     }
 
     /**
-     * Where failures cost no time a server that fails every other part still relieves busy ones, but for last attempts.
+     * Guards against avoiding a server that fails every other part at once as much as one that fails them late: while
+     * failures cost no time it still relieves busy servers, though not of last attempts.
      */
     @Test
-    void failuresAtOnceCostLessThanLateOnes() {
-        assertTrue(failed(1) > 1.5 * failed(700), "at once " + failed(1) + ", late " + failed(700));
+    void immediateFailuresCountLessThanLateOnes() {
+        assertTrue(countFailedParts(1) > 1.5 * countFailedParts(700),
+                "failed parts: at once " + countFailedParts(1) + ", late " + countFailedParts(700));
     }
 
-    /** Parts that came to nothing at a server that fails every other one after so long, in 40 rounds of 30. */
-    private int failed(long after) {
-        start(Fixture.withDefaults());
-        int failed = 0;
+    /** Returns how many parts fail in 40 rounds of 30 queries if server 11 fails every other one after a given time. */
+    private int countFailedParts(long failureMs) {
+        startModule(Fixture.withDefaults());
+        int failedParts = 0;
         for (long i = 0; i < 40; i++) {
-            List<Send> out = new ArrayList<>();
+            List<Send> sends = new ArrayList<>();
             for (int k = 0; k < 30; k++) {
-                out.addAll(sends(at(1000 * i + 1, Fixture.queryEvents(1000 * i + 10 * k + 10, SAFE, 30 * i + k + 1,
-                        0))));
+                sends.addAll(sendsIn(roundAt(1000 * i + 1,
+                        Fixture.queryEvents(1000 * i + 10 * k + 10, SAFE, 30 * i + k + 1, 0))));
             }
             List<Event> ends = new ArrayList<>();
-            for (Send s : out) {
-                boolean fails = s.replica() == 11 && s.part() % 20 > 9;
-                failed += fails ? 1 : 0;
-                ends.add(Fixture.attemptEnded(s.part(), 0, s.replica(), fails ? Outcome.ERROR : Outcome.OK,
-                        (fails ? after : 100) * MS));
+            for (Send send : sends) {
+                boolean fails = send.replica() == 11 && send.part() % 20 > 9;
+                failedParts += fails ? 1 : 0;
+                ends.add(Fixture.attemptEnded(send.part(), 0, send.replica(), fails ? Outcome.ERROR : Outcome.OK,
+                        (fails ? failureMs : 100) * MS));
             }
-            List<Event> again = new ArrayList<>();
-            sends(at(1000 * i + 101, ends)).forEach(s -> again.add(Fixture.attemptEnded(s.part(), 1, s.replica(),
-                    Outcome.OK, 100 * MS)));
-            at(1000 * i + 201, again);
+            List<Event> furtherEnds = new ArrayList<>();
+            sendsIn(roundAt(1000 * i + 101, ends)).forEach(send -> furtherEnds.add(
+                    Fixture.attemptEnded(send.part(), 1, send.replica(), Outcome.OK, 100 * MS)));
+            roundAt(1000 * i + 201, furtherEnds);
         }
-        return failed;
+        return failedParts;
     }
 
-    /** A query one of whose parts used all its attempts cannot be answered: it ends at once, not at its aim. */
+    /**
+     * Guards against keeping a query until its aim although it cannot be answered any more, since one of its parts has
+     * used all its attempts.
+     */
     @Test
-    void lostQueryEndsAtOnce() {
-        Fixture f = Fixture.withDefaults();
-        f.maxAttempts = 2;
-        start(f);
-        List<Send> sent = sends(at(1, Fixture.queryEvents(1, SAFE, 7, 0, 1)));
-        Send s = sent.get(0);
-        Send again = sends(at(2, List.of(Fixture.attemptEnded(s.part(), 0, s.replica(), Outcome.FULL, MS)))).get(0);
-        List<Action> out = at(3, List.of(Fixture.attemptEnded(s.part(), 1, again.replica(), Outcome.FULL, MS)));
-        assertEquals(1, Fixture.filterByType(out, Refuse.class).size());
-        assertEquals(1, Fixture.filterByType(out, Aggregator.Cancel.class).size());
-    }
-
-    /** Where enough other parts are left, the one whose holders would be late is not asked at all. */
+    void queryWithAPartOutOfAttemptsIsRefusedAtOnce() {
+        Fixture fixture = Fixture.withDefaults();
+        fixture.maxAttempts = 2;
+        startModule(fixture);
+        List<Send> sends = sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0, 1)));
+        Send send = sends.get(0);
+        Send secondSend = sendsIn(roundAt(2,
+                List.of(Fixture.attemptEnded(send.part(), 0, send.replica(), Outcome.FULL, MS)))).get(0);
+        List<Action> actions = roundAt(3,
+                List.of(Fixture.attemptEnded(send.part(), 1, secondSend.replica(), Outcome.FULL, MS)));
+        assertEquals(1, Fixture.filterByType(actions, Refuse.class).size());
+        assertEquals(1, Fixture.filterByType(actions, Aggregator.Cancel.class).size());
+    }
+
+    /** Guards against sending a part that would be answered late although the other parts are enough for an answer. */
     @Test
-    void partThatWouldBeLateIsNotAskedWhereTheOthersAreEnough() {
-        Fixture f = oneHolder();
-        f.floor = 0.6;
-        start(f);
-        at(1, List.of(new ProbeEnded(11, Outcome.OK, MS, new double[] {90}), new ProbeEnded(12, Outcome.OK, MS,
+    void partThatWouldBeLateIsNotSentIfTheOthersReachTheFloor() {
+        Fixture fixture = withOneHolderPerShard();
+        fixture.floor = 0.6;
+        startModule(fixture);
+        roundAt(1, List.of(new ProbeEnded(11, Outcome.OK, MS, new double[] {90}), new ProbeEnded(12, Outcome.OK, MS,
                 new double[] {0}), new ProbeEnded(13, Outcome.OK, MS, new double[] {0})));
-        List<Send> sent = sends(at(2, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
-        assertEquals(2, sent.size());
-        assertTrue(sent.stream().noneMatch(s -> s.replica() == 11));
+        List<Send> sends = sendsIn(roundAt(2, Fixture.queryEvents(1, SAFE, 7, 0, 1, 2)));
+        assertEquals(2, sends.size());
+        assertTrue(sends.stream().noneMatch(s -> s.replica() == 11));
     }
 
-    /** Where crossing zones has a price, an idle holder near by is the home. */
+    /**
+     * Guards against choosing a home in another zone although crossing zones has a price and a holder in the own zone
+     * is idle.
+     */
     @Test
-    void homeIsNearWhereCrossingHasAPrice() {
-        int far = 0;
+    void homeIsInTheOwnZoneIfCrossingZonesHasAPrice() {
+        int sentToOtherZones = 0;
         for (int key = 1; key <= 20; key++) {
-            Fixture f = Fixture.withDefaults();
-            f.crossZone = 0.04;
-            decide = new Decide(f.settings(), 3);
-            at(0, List.of(Fixture.listUpdate(new ListEntry(11, 1, 0, Status.READY, 1, 0),
+            Fixture fixture = Fixture.withDefaults();
+            fixture.crossZone = 0.04;
+            module = new Decide(fixture.settings(), 3);
+            roundAt(0, List.of(Fixture.listUpdate(new ListEntry(11, 1, 0, Status.READY, 1, 0),
                     new ListEntry(12, 0, 1, Status.READY, 1, 0), new ListEntry(13, 2, 2, Status.READY, 1, 0))));
-            far += sends(at(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica() == 12 ? 0 : 1;
+            sentToOtherZones +=
+                    sendsIn(roundAt(1, Fixture.queryEvents(1, SAFE, key, 0))).get(0).replica() == 12 ? 0 : 1;
         }
-        assertEquals(0, far);
+        assertEquals(0, sentToOtherZones);
     }
 
-    /** Where clients mark their later tries, an unmarked query with little time left is a first one. */
+    /**
+     * Guards against taking an unmarked query with little time left for a retry although clients mark their retries.
+     */
     @Test
-    void shortTimeLeftIsNoLaterTryWhereClientsMarkThem() {
-        Fixture f = Fixture.withDefaults();
-        f.clientsMarkRetries = true;
-        start(f);
-        at(1, Fixture.queryEvents(1, SAFE, 7, 0));
-        at(2, List.of(Fixture.attemptEnded(2, 0, 11, Outcome.OK, MS)));
-        List<Action> out = at(3, List.of(new Aggregator.QueryArrived(10, 10, SAFE, 1, 1500 * MS, 0, false, 8, 0),
+    void unmarkedQueryWithLittleTimeLeftIsNoRetryIfClientsMarkRetries() {
+        Fixture fixture = Fixture.withDefaults();
+        fixture.clientsMarkRetries = true;
+        startModule(fixture);
+        roundAt(1, Fixture.queryEvents(1, SAFE, 7, 0));
+        roundAt(2, List.of(Fixture.attemptEnded(2, 0, 11, Outcome.OK, MS)));
+        List<Action> actions = roundAt(3, List.of(
+                new Aggregator.QueryArrived(10, 10, SAFE, 1, 1500 * MS, 0, false, 8, 0),
                 new Aggregator.PartArrived(11, 10, 0, 1, 0, 8)));
-        assertEquals(1, sends(out).size(), "turned away: " + out);
+        assertEquals(1, sendsIn(actions).size(), "refused: " + actions);
     }
 
-    /** A query turned away for a short queue is told when room is expected, not the longest time permitted. */
+    /**
+     * Guards against advising the longest permitted retry-after to every refused client: where the queue is short,
+     * capacity is expected sooner.
+     */
     @Test
-    void comeBackTimeFollowsWhatIsKnown() {
-        Fixture f = oneHolder();
-        start(f);
-        List<Long> told = new ArrayList<>();
+    void retryAfterIsTheTimeUntilCapacityIsExpected() {
+        Fixture fixture = withOneHolderPerShard();
+        startModule(fixture);
+        List<Long> retryAfterTimes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            told.addAll(Fixture.filterByType(at(1 + i, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)), Refuse.class)
-                    .stream().map(Refuse::retryAfter).toList());
+            retryAfterTimes.addAll(Fixture.filterByType(
+                    roundAt(1 + i, Fixture.queryEvents(10L * (i + 1), SAFE, i, 0)), Refuse.class).stream()
+                    .map(Refuse::retryAfter).toList());
         }
-        assertTrue(told.stream().anyMatch(t -> t > 0 && t < 500 * MS), "told to come back after " + told);
-        assertTrue(told.stream().allMatch(t -> t > 0 && t <= 500 * MS), "told to come back after " + told);
+        assertTrue(retryAfterTimes.stream().anyMatch(t -> t > 0 && t < 500 * MS),
+                "retry-after times: " + retryAfterTimes);
+        assertTrue(retryAfterTimes.stream().allMatch(t -> t > 0 && t <= 500 * MS),
+                "retry-after times: " + retryAfterTimes);
     }
 }
--- a/coordinator/src/test/java/burlford/policy/PeersTest.java
+++ b/coordinator/src/test/java/burlford/policy/PeersTest.java
@@ -14,117 +14,127 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What another instance of the process says, as it changes what this one decides. */
+/** Tests how updates from peers, other module instances of the same process, affect the decisions of this one. */
 class PeersTest {
 
     private static final long MS = Fixture.MS;
     private long now = Fixture.START_US;
-    private long next = 1;
+    private long lastQueryId = 1;
     private final Decide module;
 
     PeersTest() {
-        module = module(false);
+        module = newModule(false);
     }
 
-    private static Decide module(boolean probe) {
-        Fixture f = Fixture.withDefaults();
-        f.reach = 1;
-        f.cells = 1;
-        f.mayProbe = probe;
-        Decide d = new Decide(f.settings(), 1);
-        d.round(Fixture.START_US, List.of(Fixture.listUpdate(Fixture.server(1, 0), Fixture.server(2, 0))));
-        return d;
+    private static Decide newModule(boolean mayProbe) {
+        Fixture fixture = Fixture.withDefaults();
+        fixture.reach = 1;
+        fixture.cells = 1;
+        fixture.mayProbe = mayProbe;
+        Decide module = new Decide(fixture.settings(), 1);
+        module.round(Fixture.START_US,
+                List.of(Fixture.listUpdate(Fixture.readyServer(1, 0), Fixture.readyServer(2, 0))));
+        return module;
     }
 
-    private PeerAttemptSent sent(long attempt, long replica) {
+    private PeerAttemptSent attemptSent(long attempt, long replica) {
         return new PeerAttemptSent(attempt, replica, 0, 0, 0, 0, now, now + 1000 * MS);
     }
 
-    private PeerAttemptEnded end(long attempt, long replica, Outcome outcome, long at, double... report) {
-        return new PeerAttemptEnded(attempt, replica, outcome, at, 10 * MS, report);
+    private PeerAttemptEnded attemptEnded(long attempt, long replica, Outcome outcome, long endedAt,
+            double... loadReport) {
+        return new PeerAttemptEnded(attempt, replica, outcome, endedAt, 10 * MS, loadReport);
     }
 
-    /** Where a query of one part goes; it is answered at once, without a report. */
-    private long chosen(Event... heard) {
-        List<Event> events = new ArrayList<>(List.of(heard));
-        long id = next += 10;
-        events.addAll(Fixture.queryEvents(id, 0, 0, 0));
-        Send s = Fixture.filterByType(module.round(now, events), Send.class).get(0);
-        module.round(now, List.of(new Aggregator.ClientLeft(id),
-                Fixture.attemptEnded(id + 1, 0, s.replica(), Outcome.CANCELLED, 0)));
+    /**
+     * Gives the events to the module together with a query of one part. The client leaves and the attempt is cancelled
+     * at once, so that neither adds to the load later.
+     *
+     * @return the server to which the part is sent
+     */
+    private long chosenServer(Event... peerEvents) {
+        List<Event> events = new ArrayList<>(List.of(peerEvents));
+        long queryId = lastQueryId += 10;
+        events.addAll(Fixture.queryEvents(queryId, 0, 0, 0));
+        Send send = Fixture.filterByType(module.round(now, events), Send.class).get(0);
+        module.round(now, List.of(new Aggregator.ClientLeft(queryId),
+                Fixture.attemptEnded(queryId + 1, 0, send.replica(), Outcome.CANCELLED, 0)));
         now += MS;
-        return s.replica();
+        return send.replica();
     }
 
     @Test
-    void whatAPeerHasOutCountsUntilItEnds() {
-        long home = chosen();
+    void attemptsOfAPeerCountAsLoadUntilTheyEnd() {
+        long home = chosenServer();
         long other = 3 - home;
-        assertThat(chosen(sent(100, home), sent(101, home))).isEqualTo(other);
-        assertThat(chosen()).isEqualTo(other);
-        assertThat(chosen(end(100, home, Outcome.OK, now), end(101, home, Outcome.OK, now))).isEqualTo(home);
+        assertThat(chosenServer(attemptSent(100, home), attemptSent(101, home))).isEqualTo(other);
+        assertThat(chosenServer()).isEqualTo(other);
+        assertThat(chosenServer(attemptEnded(100, home, Outcome.OK, now),
+                attemptEnded(101, home, Outcome.OK, now))).isEqualTo(home);
     }
 
     @Test
-    void whatAPeerHasOutIsForgottenAfterItsTimeAndWhenWordsWereLost() {
-        long home = chosen();
-        assertThat(chosen(sent(100, home), sent(101, home))).isNotEqualTo(home);
+    void attemptsOfAPeerAreForgottenAfterTheirTimeAndWhenUpdatesAreLost() {
+        long home = chosenServer();
+        assertThat(chosenServer(attemptSent(100, home), attemptSent(101, home))).isNotEqualTo(home);
         now += 1000 * MS;
-        assertThat(chosen()).isEqualTo(home);
-        assertThat(chosen(sent(102, home), sent(103, home))).isNotEqualTo(home);
-        assertThat(chosen(new PeerUpdatesLost())).isEqualTo(home);
+        assertThat(chosenServer()).isEqualTo(home);
+        assertThat(chosenServer(attemptSent(102, home), attemptSent(103, home))).isNotEqualTo(home);
+        assertThat(chosenServer(new PeerUpdatesLost())).isEqualTo(home);
     }
 
     @Test
-    void aPeersReportCountsByItsTimeAndAnOldOneNotAtAll() {
-        long home = chosen();
+    void loadReportOfAPeerIsIgnoredIfOlderThanTheLastOne() {
+        long home = chosenServer();
         long other = 3 - home;
-        assertThat(chosen(sent(100, home), end(100, home, Outcome.OK, now, 30))).isEqualTo(other);
-        // Told late: it is older than what is known.
-        assertThat(chosen(sent(101, home), end(101, home, Outcome.OK, now - 5 * MS, 0))).isEqualTo(other);
-        assertThat(chosen(sent(102, home), end(102, home, Outcome.OK, now, 0))).isEqualTo(home);
+        assertThat(chosenServer(attemptSent(100, home), attemptEnded(100, home, Outcome.OK, now, 30))).isEqualTo(other);
+        // This report arrives late: it is older than the last one.
+        assertThat(chosenServer(attemptSent(101, home),
+                attemptEnded(101, home, Outcome.OK, now - 5 * MS, 0))).isEqualTo(other);
+        assertThat(chosenServer(attemptSent(102, home), attemptEnded(102, home, Outcome.OK, now, 0))).isEqualTo(home);
     }
 
     @Test
-    void failuresThatAPeerSawCastDoubtHereToo() {
-        long home = chosen();
-        List<Event> bad = new ArrayList<>();
+    void serverWithFailuresSeenByAPeerIsAvoided() {
+        long home = chosenServer();
+        List<Event> failures = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            bad.add(sent(100 + i, home));
-            bad.add(end(100 + i, home, Outcome.ERROR, now));
+            failures.add(attemptSent(100 + i, home));
+            failures.add(attemptEnded(100 + i, home, Outcome.ERROR, now));
         }
-        assertThat(chosen(bad.toArray(new Event[0]))).isNotEqualTo(home);
+        assertThat(chosenServer(failures.toArray(new Event[0]))).isNotEqualTo(home);
     }
 
     @Test
-    void oldFailuresTellNothing() {
-        long home = chosen();
-        List<Event> bad = new ArrayList<>();
+    void oldFailuresSeenByAPeerAreIgnored() {
+        long home = chosenServer();
+        List<Event> failures = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            bad.add(sent(100 + i, home));
-            bad.add(end(100 + i, home, Outcome.ERROR, now - 2000 * MS));
+            failures.add(attemptSent(100 + i, home));
+            failures.add(attemptEnded(100 + i, home, Outcome.ERROR, now - 2000 * MS));
         }
-        assertThat(chosen(bad.toArray(new Event[0]))).isEqualTo(home);
+        assertThat(chosenServer(failures.toArray(new Event[0]))).isEqualTo(home);
     }
 
     @Test
-    void whatAPeerAskedAReaderIsNotAskedAgain() {
-        Decide probing = module(true);
-        List<Event> first = Fixture.queryEvents(10, 0, 0, 0);
-        assertThat(Fixture.filterByType(probing.round(now, first), Probe.class)).hasSize(1);
-        Decide told = module(true);
+    void serverThatAPeerHasJustProbedIsNotProbedAgain() {
+        Decide unnotified = newModule(true);
+        List<Event> query = Fixture.queryEvents(10, 0, 0, 0);
+        assertThat(Fixture.filterByType(unnotified.round(now, query), Probe.class)).hasSize(1);
+        Decide notified = newModule(true);
         List<Event> events = new ArrayList<>(List.of(new PeerProbeEnded(1, Outcome.OK, now, 200, new double[] {0}),
                 new PeerProbeEnded(2, Outcome.OK, now, 200, new double[] {0})));
         events.addAll(Fixture.queryEvents(10, 0, 0, 0));
-        List<Aggregator.Action> actions = told.round(now, events);
+        List<Aggregator.Action> actions = notified.round(now, events);
         assertThat(Fixture.filterByType(actions, Probe.class)).isEmpty();
         assertThat(Fixture.filterByType(actions, Send.class)).hasSize(1);
     }
 
     @Test
-    void whatIsUnknownIsIgnored() {
-        long home = chosen();
-        assertThat(chosen(sent(100, 77), end(101, 77, Outcome.OK, now), end(102, home, Outcome.ERROR, now),
+    void updatesWithUnknownServersAttemptsOrClassesAreIgnored() {
+        long home = chosenServer();
+        assertThat(chosenServer(attemptSent(100, 77), attemptEnded(101, 77, Outcome.OK, now),
+                attemptEnded(102, home, Outcome.ERROR, now),
                 new PeerProbeEnded(77, Outcome.OK, now, 1, new double[0]),
                 new PeerAttemptSent(103, home, 99, 0, 0, 0, now, now + MS))).isEqualTo(home);
     }
