--- a/coordinator/src/main/java/burlford/core/Call.java
+++ b/coordinator/src/main/java/burlford/core/Call.java
@@ -2,29 +2,32 @@
 
 import burlford.policy.Dispatcher.Send;
 
-/** One attempt of a part on its way to a reader. deadline: when the coordinator stops waiting. */
+/** An attempt of a part at a reader. All times are microseconds on the coordinator's clock. */
 public final class Call {
+    /** The call's id on the wire: the query's id, a dot and the shard. */
     public final String partId;
     public final int shard;
     public final Send send;
+    /** The query's text, which each of its parts carries. */
     public final byte[] text;
     public final long sentAt;
-    public final long deadline;
-    /** When the reader had started that it is meant for. */
+    /** When the coordinator stops waiting for the answer. */
+    public final long waitsUntil;
+    /** Start time of the reader process that the call is meant for, as in the reader list. */
     final long readerStartedAt;
     Timers.Timer timeout;
     boolean ended;
-    /** The readers' side has it; before that it waits for the end of its turn. */
-    boolean handedOver;
+    /** Passed to the transport; before that the call waits for the end of the event-loop iteration. */
+    boolean handedToTransport;
 
-    Call(String partId, int shard, Send send, byte[] text, long sentAt, long deadline,
+    Call(String partId, int shard, Send send, byte[] text, long sentAt, long waitsUntil,
             long readerStartedAt) {
         this.partId = partId;
         this.shard = shard;
         this.send = send;
         this.text = text;
         this.sentAt = sentAt;
-        this.deadline = deadline;
+        this.waitsUntil = waitsUntil;
         this.readerStartedAt = readerStartedAt;
     }
 }
--- a/coordinator/src/main/java/burlford/core/Client.java
+++ b/coordinator/src/main/java/burlford/core/Client.java
@@ -2,18 +2,22 @@
 
 import java.util.Map;
 
-/** Whoever asked: hears exactly one of these, once, unless the query's client left before. */
+/**
+ * Receives the final answer to a query: exactly one call of {@link #answered}, {@link #refused} or {@link #failed}, or
+ * none if the client has disconnected before.
+ */
 public interface Client {
 
-    /** values by shard, as the readers gave them. */
+    /** The query is answered. whole: with all its parts. values: by shard, as the readers gave them. */
     void answered(boolean whole, Map<Integer, String> values);
 
-    /** Asking again does no harm. retryAfter: microseconds the client should wait, 0 for no advice. */
+    /** The query is refused; a retry does no harm. retryAfter: microseconds to wait before it; 0: no advice. */
     void refused(long retryAfter);
 
-    void failed(String why);
+    /** The query has failed. reason: text for the client. */
+    void failed(String reason);
 
-    /** Whether it still waits, as of now or of a moment ago: it has not closed its connection. */
+    /** Whether the client has not closed its connection, as of now or of a moment ago. */
     default boolean isConnected() {
         return true;
     }
--- a/coordinator/src/main/java/burlford/core/ClientLimits.java
+++ b/coordinator/src/main/java/burlford/core/ClientLimits.java
@@ -1,8 +1,8 @@
 package burlford.core;
 
 /**
- * How many client connections the process has, and the bytes of requests it holds; each event loop that has
- * connections has its own view, called there alone.
+ * Limits on the client connections and the request bytes of the whole process. Each event loop that has client
+ * connections has its own view of them, to be called on that loop only.
  */
 public interface ClientLimits {
 
@@ -10,36 +10,40 @@
 
     void closed();
 
-    /** Client connections of the whole process. */
+    /** Number of client connections that the process has open. */
     int openCount();
 
-    /** Too many are open: someone's longest silent connection is to go. True: the caller is to close one of its own. */
+    /**
+     * Asks for the eviction of the connection that has been idle longest, since too many are open.
+     *
+     * @return true: the connection is one of the caller's own, to be closed by it; false: its lane has been asked to
+     */
     boolean mustEvictOwn();
 
-    /** Makes room for so many bytes of requests, if there is any. */
+    /** Reserves request bytes; false where the limit does not allow that many. */
     boolean tryReserve(int bytes);
 
     void release(int bytes);
 
-    /** That of a process with one such loop. mostHeld: bytes. */
-    static ClientLimits singleLane(long mostHeld) {
+    /** Limits of a process with a single event loop. maxRequestBytes: request bytes held at once, at most. */
+    static ClientLimits singleLane(long maxRequestBytes) {
         return new ClientLimits() {
-            private int open;
-            private long held;
+            private int openCount;
+            private long reservedBytes;
 
             @Override
             public void opened() {
-                open++;
+                openCount++;
             }
 
             @Override
             public void closed() {
-                open--;
+                openCount--;
             }
 
             @Override
             public int openCount() {
-                return open;
+                return openCount;
             }
 
             @Override
@@ -49,16 +53,16 @@
 
             @Override
             public boolean tryReserve(int bytes) {
-                if (held + bytes > mostHeld) {
+                if (reservedBytes + bytes > maxRequestBytes) {
                     return false;
                 }
-                held += bytes;
+                reservedBytes += bytes;
                 return true;
             }
 
             @Override
             public void release(int bytes) {
-                held -= bytes;
+                reservedBytes -= bytes;
             }
         };
     }
--- a/coordinator/src/main/java/burlford/core/Coordinator.java
+++ b/coordinator/src/main/java/burlford/core/Coordinator.java
@@ -28,116 +28,123 @@
 import java.util.logging.Logger;
 
 /**
- * Holds the open queries between whoever asks and the readers, and carries out what the dispatcher decides.
- * It knows no wire: fronts call {@link #submit} and {@link #clientLeft}, the readers' side reports what came back.
+ * Holds the open queries and carries out what the {@link Dispatcher} decides about them. It is independent of wire
+ * protocols: fronts call {@link #submit} and {@link #clientLeft}, and the {@link ReaderTransport} reports the results
+ * of calls and probes. All times are microseconds on the coordinator's clock. Not thread-safe: one event loop owns it.
  */
 public final class Coordinator implements ReaderRegistry {
 
     private static final Logger LOG = Logger.getLogger(Coordinator.class.getName());
-    /** A line for each query, attempt, probe and list entry, at FINE; off by default, asked for once. */
+    /**
+     * Logs a line for each query, attempt, probe and list entry at level FINE. Off by default; whether it is on is read
+     * only once.
+     */
     private static final Logger TRACE = Logger.getLogger("burlford.trace");
-    private static final boolean TRACED = TRACE.isLoggable(Level.FINE);
-    /** Before the client's time is up by this much a query still open is failed, whatever was decided. */
-    private static final long LAST_WORD = 10_000;
+    private static final boolean TRACE_ENABLED = TRACE.isLoggable(Level.FINE);
+    /** A query that is still open this long before its deadline is failed, whatever the module has decided. */
+    private static final long OVERDUE_MARGIN_US = 10_000;
     private static final long US_PER_MS = 1_000;
-    private static final double[] NO_LOAD = {};
-    /** A load that may be older than this is left out: queues are others by then. */
-    private static final long STALE = 100_000;
+    private static final double[] NO_LOAD_REPORT = {};
+    /** A load report that may be older than this is ignored, since the reader's queue has changed by then. */
+    private static final long STALE_LOAD_AGE_US = 100_000;
 
+    /** An open query, or one that has ended and still has calls in flight. */
     private static final class OpenQuery {
         final long number;
         final Query query;
         final Client client;
         final Dispatcher dispatcher;
-        final long takenAt;
+        final long submittedAt;
         final Map<Integer, String> values = new TreeMap<>();
         final Map<Long, Call> calls = new HashMap<>();
-        Timers.Timer lastWord;
+        Timers.Timer overdueTimer;
         boolean ended;
 
-        OpenQuery(long number, Query query, Client client, Dispatcher dispatcher, long takenAt) {
+        OpenQuery(long number, Query query, Client client, Dispatcher dispatcher, long submittedAt) {
             this.number = number;
-            this.takenAt = takenAt;
+            this.submittedAt = submittedAt;
             this.query = query;
             this.client = client;
             this.dispatcher = dispatcher;
         }
     }
 
-    /** What a dispatcher decided, and which: after a change of the settings there may be two. */
-    private record PendingDecisions(Dispatcher by, Decisions what) { }
+    /** Decisions and the dispatcher that made them; after a change of the settings several dispatchers are in use. */
+    private record PendingDecisions(Dispatcher source, Decisions decisions) { }
 
     private Site site;
     private Dispatcher dispatcher;
-    private final Timers deadlines;
+    private final Timers timers;
     private final Counters counters;
     private final LongSupplier clock;
     private final EventLog events;
-    private final SharedState commons;
-    private ReaderTransport readers;
+    private final SharedState sharedState;
+    private ReaderTransport readerTransport;
     private final Map<Long, OpenQuery> queries = new LinkedHashMap<>();
-    private final Map<String, ReaderEntry> list = new LinkedHashMap<>();
-    private Runnable onListed = () -> { };
-    private Runnable readList = () -> { };
-    private final ArrayDeque<PendingDecisions> decided = new ArrayDeque<>();
-    /** Calls decided in this turn. */
-    private final ArrayDeque<Call> unsent = new ArrayDeque<>();
-    private boolean carryingOut;
-    private boolean catchingUp;
-    /** Probes that another coordinator sent and whose results this one's module waits for. */
-    private final Map<String, Timers.Timer> joined = new HashMap<>();
-    private long endBy = Long.MAX_VALUE;
-    private boolean abandoned;
-    /** Queries may be open under settings that are no longer in force. */
-    private boolean older;
-
-    public Coordinator(Site site, Dispatcher dispatcher, SharedState commons, Timers deadlines, Counters counters,
+    private final Map<String, ReaderEntry> readersById = new LinkedHashMap<>();
+    private Runnable onReadersUpdated = () -> { };
+    private Runnable beforeSend = () -> { };
+    private final ArrayDeque<PendingDecisions> pendingDecisions = new ArrayDeque<>();
+    /** Calls decided in this event-loop iteration and not yet passed to the transport. */
+    private final ArrayDeque<Call> queuedCalls = new ArrayDeque<>();
+    private boolean executing;
+    private boolean applyingUpdates;
+    /** By reader: timeouts of probes that a peer has sent and whose results this coordinator's module awaits. */
+    private final Map<String, Timers.Timer> joinedProbes = new HashMap<>();
+    private long answerAllBy = Long.MAX_VALUE;
+    private boolean failed;
+    /** Queries may be open that were submitted under earlier settings and belong to an earlier dispatcher. */
+    private boolean mayHaveOldDispatchers;
+
+    public Coordinator(Site site, Dispatcher dispatcher, SharedState sharedState, Timers timers, Counters counters,
             LongSupplier clock) {
-        this.commons = commons;
+        this.sharedState = sharedState;
         this.site = site;
         this.dispatcher = dispatcher;
-        this.deadlines = deadlines;
+        this.timers = timers;
         this.counters = counters;
         this.clock = clock;
         this.events = new EventLog(Coordinator.class, clock);
     }
 
-    public void setReaderTransport(ReaderTransport to) {
-        readers = to;
+    public void setReaderTransport(ReaderTransport transport) {
+        readerTransport = transport;
     }
 
     /**
-     * New settings: the new dispatcher decides about queries to come; those open end under the one they began
-     * with, and both hear of the readers meanwhile.
+     * Puts new settings in force. The new dispatcher decides about queries submitted from now on; open queries stay
+     * with the dispatcher that they began with. Reader lists and probe results are passed to all of them.
      */
-    public void reconfigure(Site to, Dispatcher by) {
-        Dispatcher before = dispatcher;
-        site = to;
-        dispatcher = by;
-        older = true;
-        told(ListKind.CACHED, readers());
-        by.shareBudgetsWith(before);
+    public void reconfigure(Site newSite, Dispatcher newDispatcher) {
+        Dispatcher previous = dispatcher;
+        site = newSite;
+        dispatcher = newDispatcher;
+        mayHaveOldDispatchers = true;
+        notifyDispatchers(ListKind.CACHED, readers());
+        newDispatcher.shareBudgetsWith(previous);
     }
 
-    /** The present dispatcher, and those of queries that are still open. */
+    /** The current dispatcher and those of queries that are still open. */
     private Collection<Dispatcher> dispatchers() {
-        if (!older) {
+        if (!mayHaveOldDispatchers) {
             return List.of(dispatcher);
         }
         Set<Dispatcher> all = new LinkedHashSet<>(List.of(dispatcher));
         queries.values().forEach(o -> all.add(o.dispatcher));
-        older = all.size() > 1;
+        mayHaveOldDispatchers = all.size() > 1;
         return all;
     }
 
     @Override
     public void onReadersUpdated(Runnable action) {
-        onListed = action;
+        onReadersUpdated = action;
     }
 
-    /** What reads changes of the list that have come and that the event loop has not got to; run before calls leave. */
+    /**
+     * Sets the action that reads list changes which have arrived but are still unread; it runs before calls are sent.
+     */
     public void onBeforeSend(Runnable action) {
-        readList = action;
+        beforeSend = action;
     }
 
     @Override
@@ -155,224 +162,242 @@
         return clock.getAsLong();
     }
 
-    /** It has a list with a reader that takes work. */
+    /** Whether the reader list has a reader that takes new work. */
     public boolean canServe() {
-        return list.values().stream().anyMatch(r -> r.status() == Status.READY);
+        return readersById.values().stream().anyMatch(r -> r.status() == Status.READY);
     }
 
+    /** Whether no query is open. */
     public boolean isIdle() {
         return queries.values().stream().allMatch(q -> q.ended);
     }
 
     @Override
     public List<ReaderEntry> readers() {
-        return List.copyOf(list.values());
+        return List.copyOf(readersById.values());
     }
 
     // ---- from the fronts
 
-    /** Whatever clients would wait, all is answered by then, also what is open now: the program goes. */
+    /** Caps the deadlines of open and of future queries, so that all are answered by the given time: for shutdown. */
     public void answerAllBy(long time) {
-        endBy = time;
-        for (OpenQuery o : List.copyOf(queries.values())) {
-            if (!o.ended && o.query.deadline() > time) {
-                deadlines.cancel(o.lastWord);
-                o.lastWord = lastWord(o, time - LAST_WORD, Aggregator.Reason.SHUTDOWN);
+        answerAllBy = time;
+        for (OpenQuery open : List.copyOf(queries.values())) {
+            if (!open.ended && open.query.deadline() > time) {
+                timers.cancel(open.overdueTimer);
+                open.overdueTimer = startOverdueTimer(open, time - OVERDUE_MARGIN_US, Aggregator.Reason.SHUTDOWN);
             }
         }
     }
 
-    /** Guards the rule that no query is lost, should the module not end it by itself. */
-    private Timers.Timer lastWord(OpenQuery o, long at, Aggregator.Reason reason) {
-        return deadlines.schedule(at, () -> {
-            if (!o.ended) {
+    /** Ends the query as failed at the given time, should the module not have ended it by then: none may be lost. */
+    private Timers.Timer startOverdueTimer(OpenQuery open, long dueAt, Aggregator.Reason reason) {
+        return timers.schedule(dueAt, () -> {
+            if (!open.ended) {
                 counters.add("queries.overdue");
-                end(o, new FinalAnswer(o.number, Dispatcher.Verdict.FAILED, false, 0, reason));
-                carryOut(o.dispatcher, o.dispatcher.report(now(), o.number));
+                endQuery(open, new FinalAnswer(open.number, Dispatcher.Verdict.FAILED, false, 0, reason));
+                execute(open.dispatcher, open.dispatcher.report(now(), open.number));
             }
         });
     }
 
     /**
-     * Takes a query; the client hears of its end. Returns its number for {@link #clientLeft}; 0, and nothing is taken
-     * or told, where a query of its id is open.
+     * Submits a query. The client is notified of the final answer, possibly before this method returns.
+     *
+     * @return the query's number for {@link #clientLeft}; 0 where a query with its id is open: then it is not
+     *     submitted, and the client is not notified
      */
-    public long submit(Query asked, Client client) {
+    public long submit(Query submitted, Client client) {
         applyPendingUpdates();
-        Query query = asked.withDeadlineAtMost(endBy);
-        if (!commons.claimId(query.id())) {
+        Query query = submitted.withDeadlineAtMost(answerAllBy);
+        if (!sharedState.claimId(query.id())) {
             return 0;
         }
-        long number = commons.nextQueryNumber();
+        long number = sharedState.nextQueryNumber();
         counters.add("queries.taken");
-        if (abandoned || !commons.tryAcquireCapacity(1 + query.parts().size(), site.maxOpen())) {
-            commons.releaseId(query.id());
+        if (failed || !sharedState.tryAcquireCapacity(1 + query.parts().size(), site.maxOpen())) {
+            sharedState.releaseId(query.id());
             counters.add("queries.refused.max_open");
             counters.add("queries.refused");
             events.log("query", query.id(), "refused: MAX_OPEN");
-            if (TRACED) {
+            if (TRACE_ENABLED) {
                 trace("full query=%s class=%d parts=%d", query.id(), query.queryClass(), query.parts().size());
             }
             client.refused(site.retryAfter());
             return number;
         }
-        OpenQuery o = new OpenQuery(number, query, client, dispatcher, now());
-        queries.put(number, o);
-        if (TRACED) {
+        OpenQuery open = new OpenQuery(number, query, client, dispatcher, now());
+        queries.put(number, open);
+        if (TRACE_ENABLED) {
             trace("taken query=%s class=%d tenant=%d parts=%d left=%d", query.id(), query.queryClass(), query.tenant(),
                     query.parts().size(), query.deadline() - now());
         }
-        o.lastWord = lastWord(o, query.deadline() - LAST_WORD, Aggregator.Reason.TIME_OVER);
-        carryOut(dispatcher, dispatcher.submit(now(), number, query.queryClass(), query.tenant(), query.key(),
+        open.overdueTimer = startOverdueTimer(open, query.deadline() - OVERDUE_MARGIN_US, Aggregator.Reason.TIME_OVER);
+        execute(dispatcher, dispatcher.submit(now(), number, query.queryClass(), query.tenant(), query.key(),
                 query.retry(), Math.max(0, query.deadline() - now()), query.parts()));
         return number;
     }
 
-    /** The client of a query went away: nobody waits for its answer. */
+    /** The client of a query has disconnected and no longer waits for the answer. */
     public void clientLeft(long number) {
         applyPendingUpdates();
-        OpenQuery o = queries.get(number);
-        if (o == null || o.ended) {
+        OpenQuery open = queries.get(number);
+        if (open == null || open.ended) {
             return;
         }
         counters.add("queries.left");
-        events.log("query", o.query.id(), "left by its client after ms", age(o), "attempts out", o.calls.size());
-        if (TRACED) {
-            trace("left query=%s class=%d left=%d values=%d out=%d", o.query.id(), o.query.queryClass(),
-                    o.query.deadline() - now(), o.values.size(), o.calls.size());
+        events.log("query", open.query.id(), "client disconnected after ms", ageMs(open), "attempts in flight",
+                open.calls.size());
+        if (TRACE_ENABLED) {
+            trace("left query=%s class=%d left=%d values=%d out=%d", open.query.id(), open.query.queryClass(),
+                    open.query.deadline() - now(), open.values.size(), open.calls.size());
         }
-        close(o);
-        carryOut(o.dispatcher, o.dispatcher.report(now(), number));
-        withdrawUnsent(o, call -> true);
-        settle(o);
+        markEnded(open);
+        execute(open.dispatcher, open.dispatcher.report(now(), number));
+        endUnsentCalls(open, call -> true);
+        removeIfFinished(open);
     }
 
     // ---- from the readers
 
-    /** A call came back. value: what the reader gave, where it served. */
-    public void callEnded(Call call, Outcome outcome, String value, double[] load) {
+    /**
+     * A call has ended.
+     *
+     * @param value the reader's value where the outcome is OK, else null
+     * @param loadReport the reader's load report, or empty
+     */
+    public void callEnded(Call call, Outcome outcome, String value, double[] loadReport) {
         if (call.ended) {
             return;
         }
         applyPendingUpdates();
         if (call.ended) {
-            return; // over what it caught up with
+            return; // the pending updates ended it
         }
         call.ended = true;
-        deadlines.cancel(call.timeout);
+        timers.cancel(call.timeout);
         counters.add("attempts." + outcome.name().toLowerCase());
-        OpenQuery o = queries.get(call.send.query());
-        o.calls.remove(key(call.send.part(), call.send.attempt()));
+        OpenQuery open = queries.get(call.send.query());
+        open.calls.remove(attemptKey(call.send.part(), call.send.attempt()));
         if (outcome != Outcome.OK) {
-            events.log("query", o.query.id(), "part", call.shard, "attempt", call.send.attempt(), "at",
+            events.log("query", open.query.id(), "part", call.shard, "attempt", call.send.attempt(), "at",
                     call.send.reader(), "ended:", outcome);
         }
-        if (outcome == Outcome.OK && !o.ended) {
-            o.values.put(call.shard, value);
+        if (outcome == Outcome.OK && !open.ended) {
+            open.values.put(call.shard, value);
         }
-        boolean over = outcome == Outcome.OK || o.ended;
-        long elapsed = elapsed(call.sentAt);
-        double[] fresh = stale() ? NO_LOAD : load;
-        if (TRACED) {
+        boolean partClosed = outcome == Outcome.OK || open.ended;
+        long elapsed = elapsedExcludingStall(call.sentAt);
+        double[] usableReport = loadsAreStale() ? NO_LOAD_REPORT : loadReport;
+        if (TRACE_ENABLED) {
             trace("attempt call=%s number=%d reader=%s outcome=%s took=%d", call.partId, call.send.attempt(),
                     call.send.reader(), outcome, elapsed);
         }
-        commons.notifyEnded(call.send, outcome, now(), elapsed, fresh);
-        carryOut(o.dispatcher, o.dispatcher.report(now(), call.send, outcome, elapsed, over, fresh));
-        settle(o);
+        sharedState.notifyEnded(call.send, outcome, now(), elapsed, usableReport);
+        execute(open.dispatcher, open.dispatcher.report(now(), call.send, outcome, elapsed, partClosed, usableReport));
+        removeIfFinished(open);
     }
 
-    /** A probe this coordinator sent at that time came back. */
-    public void probeEnded(String reader, Outcome outcome, long sentAt, double[] load) {
+    /** A probe that this coordinator sent at the given time has ended. */
+    public void probeEnded(String reader, Outcome outcome, long sentAt, double[] loadReport) {
         applyPendingUpdates();
         counters.add("probes." + outcome.name().toLowerCase());
-        deadlines.cancel(joined.remove(reader));
-        long elapsed = elapsed(sentAt);
-        double[] fresh = stale() ? NO_LOAD : load;
-        if (TRACED) {
-            trace("probe reader=%s outcome=%s took=%d load=%s", reader, outcome, elapsed, Arrays.toString(fresh));
+        timers.cancel(joinedProbes.remove(reader));
+        long elapsed = elapsedExcludingStall(sentAt);
+        double[] usableReport = loadsAreStale() ? NO_LOAD_REPORT : loadReport;
+        if (TRACE_ENABLED) {
+            trace("probe reader=%s outcome=%s took=%d load=%s", reader, outcome, elapsed,
+                    Arrays.toString(usableReport));
         }
-        commons.notifyProbed(reader, outcome, now(), elapsed, fresh);
-        told(reader, outcome, elapsed, fresh);
+        sharedState.notifyProbed(reader, outcome, now(), elapsed, usableReport);
+        notifyDispatchers(reader, outcome, elapsed, usableReport);
     }
 
-    private void told(String reader, Outcome outcome, long elapsed, double[] load) {
-        dispatchers().forEach(d -> carryOut(d, d.report(now(), reader, outcome, elapsed, load)));
+    private void notifyDispatchers(String reader, Outcome outcome, long elapsed, double[] loadReport) {
+        dispatchers().forEach(d -> execute(d, d.report(now(), reader, outcome, elapsed, loadReport)));
     }
 
-    /** How long something took, without the time for which our own loop stood still: that is no reader's. */
-    private long elapsed(long sentAt) {
-        long took = now() - sentAt;
-        return Math.max(Math.min(took, 1), took - commons.stallUs());
+    /** Time since sentAt without that for which this event loop was stalled, which is not the reader's fault. */
+    private long elapsedExcludingStall(long sentAt) {
+        long total = now() - sentAt;
+        return Math.max(Math.min(total, 1), total - sharedState.stallUs());
     }
 
-    /** What comes in now may have lain unread for long: a load that old is none. */
-    private boolean stale() {
-        return commons.stallUs() >= STALE;
+    /** Whether a load report that is read now may have lain unread for so long that it is out of date. */
+    private boolean loadsAreStale() {
+        return sharedState.stallUs() >= STALE_LOAD_AGE_US;
     }
 
-    // ---- from the others of the process
+    // ---- from the other coordinators of the process
 
-    /** What was told to all goes before what is read or decided here, and what others know before what is asked. */
+    /**
+     * Applies waiting broadcasts (reader lists, settings) and peer updates, so that whatever is decided next takes
+     * them into account. Does nothing while decisions or updates are being carried out.
+     */
     public void applyPendingUpdates() {
-        if (carryingOut || catchingUp) {
+        if (executing || applyingUpdates) {
             return;
         }
-        catchingUp = true;
+        applyingUpdates = true;
         try {
-            commons.applyBroadcasts();
-            hear();
+            sharedState.applyBroadcasts();
+            applyPeerUpdates();
         } finally {
-            catchingUp = false;
+            applyingUpdates = false;
         }
     }
 
-    private void hear() {
-        List<PeerUpdate> words = commons.pollPeerUpdates();
-        if (words.isEmpty()) {
+    private void applyPeerUpdates() {
+        List<PeerUpdate> updates = sharedState.pollPeerUpdates();
+        if (updates.isEmpty()) {
             return;
         }
-        dispatchers().forEach(d -> d.addPeerUpdates(words));
-        for (PeerUpdate w : words) {
-            Timers.Timer waits = w instanceof PeerUpdate.ProbeEnded p ? joined.remove(p.reader()) : null;
-            deadlines.cancel(waits);
+        dispatchers().forEach(d -> d.addPeerUpdates(updates));
+        for (PeerUpdate update : updates) {
+            Timers.Timer timer = update instanceof PeerUpdate.ProbeEnded p ? joinedProbes.remove(p.reader()) : null;
+            timers.cancel(timer);
         }
     }
 
-    /** Nothing happened here of late: takes what was told to all and what others said, and looks what it changes. */
+    /**
+     * Applies waiting broadcasts and peer updates and has the dispatchers check their queries, for use when nothing
+     * else has happened on this event loop.
+     */
     public void refresh() {
         applyPendingUpdates();
-        dispatchers().forEach(d -> carryOut(d, d.tick(now())));
+        dispatchers().forEach(d -> execute(d, d.tick(now())));
     }
 
     /**
-     * Ends all that is open as failed and takes nothing more: this coordinator's loop has come to grief. Nothing is
-     * decided, for what decides may be what failed. Attempts out are given up.
+     * Fails all open queries and refuses later ones, because this coordinator's event loop has failed. Calls in flight
+     * are cancelled. The module is not consulted, since it may be what failed.
+     *
+     * @param reason the text for the clients
      */
-    public void failAll(String why) {
-        abandoned = true;
-        for (OpenQuery o : List.copyOf(queries.values())) {
-            if (!o.ended) {
+    public void failAll(String reason) {
+        failed = true;
+        for (OpenQuery open : List.copyOf(queries.values())) {
+            if (!open.ended) {
                 counters.add("queries.abandoned");
-                close(o);
-                quietly(() -> o.client.failed(why));
+                markEnded(open);
+                runLoggingExceptions(() -> open.client.failed(reason));
             }
-            for (Call call : List.copyOf(o.calls.values())) {
+            for (Call call : List.copyOf(open.calls.values())) {
                 call.ended = true;
-                deadlines.cancel(call.timeout);
-                quietly(() -> readers.cancel(call));
-                commons.notifyEnded(call.send, Outcome.CANCELLED, now(), 0, NO_LOAD);
+                timers.cancel(call.timeout);
+                runLoggingExceptions(() -> readerTransport.cancel(call));
+                sharedState.notifyEnded(call.send, Outcome.CANCELLED, now(), 0, NO_LOAD_REPORT);
             }
-            o.calls.clear();
+            open.calls.clear();
         }
         queries.clear();
     }
 
-    private static void quietly(Runnable step) {
+    private static void runLoggingExceptions(Runnable action) {
         try {
-            step.run();
+            action.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "in giving up", e);
+            LOG.log(Level.SEVERE, "error while failing the open queries; going on with the others", e);
         }
     }
 
@@ -380,286 +405,296 @@
 
     @Override
     public void updateReaders(ListKind kind, List<ReaderEntry> entries) {
-        if (abandoned) {
+        if (failed) {
             return;
         }
         counters.add("lists." + kind.name().toLowerCase());
-        boolean first = list.isEmpty();
+        boolean firstList = readersById.isEmpty();
         if (kind != ListKind.CHANGES) {
-            List<String> named = entries.stream().map(ReaderEntry::id).toList();
-            for (String id : List.copyOf(list.keySet())) {
-                if (!named.contains(id)) {
-                    LOG.log(Level.INFO, "reader {0}: not in the list any more", id);
-                    list.remove(id);
-                    readers.removeReader(id);
+            List<String> listedIds = entries.stream().map(ReaderEntry::id).toList();
+            for (String id : List.copyOf(readersById.keySet())) {
+                if (!listedIds.contains(id)) {
+                    LOG.log(Level.INFO, "reader {0}: no longer in the reader list", id);
+                    readersById.remove(id);
+                    readerTransport.removeReader(id);
                 }
             }
         }
-        for (ReaderEntry e : entries) {
-            if (TRACED) {
-                trace("listed kind=%s reader=%s cell=%d status=%s started=%d", kind, e.id(), e.cell(), e.status(),
-                        e.startedAt());
+        for (ReaderEntry entry : entries) {
+            if (TRACE_ENABLED) {
+                trace("listed kind=%s reader=%s cell=%d status=%s started=%d", kind, entry.id(), entry.cell(),
+                        entry.status(), entry.startedAt());
             }
-            if (!first) {
-                logTransition(list.get(e.id()), e);
+            if (!firstList) {
+                logTransition(readersById.get(entry.id()), entry);
             }
-            if (e.status() == Status.GONE) {
-                list.remove(e.id());
-                readers.removeReader(e.id());
+            if (entry.status() == Status.GONE) {
+                readersById.remove(entry.id());
+                readerTransport.removeReader(entry.id());
             } else {
-                list.put(e.id(), e);
-                readers.updateReader(e);
+                readersById.put(entry.id(), entry);
+                readerTransport.updateReader(entry);
             }
         }
-        told(kind, entries);
-        withdrawFromUnready();
-        if (first) {
-            LOG.log(Level.INFO, "list of readers: {0}, from a list of kind {1}", new Object[] {list.size(), kind});
+        notifyDispatchers(kind, entries);
+        endUnsentCallsToUnreadyReaders();
+        if (firstList) {
+            LOG.log(Level.INFO, "reader list: {0} readers, from a list of kind {1}",
+                    new Object[] {readersById.size(), kind});
         }
-        onListed.run();
+        onReadersUpdated.run();
     }
 
-    /** What waits for a connection to a reader that takes nothing new is not sent there when it comes up. */
-    private void withdrawFromUnready() {
-        for (OpenQuery o : List.copyOf(queries.values())) {
-            withdrawUnsent(o, call -> readerStatus(call) != Status.READY);
+    /** Ends calls that wait for a connection to a reader which takes nothing new, lest they are sent once it is up. */
+    private void endUnsentCallsToUnreadyReaders() {
+        for (OpenQuery open : List.copyOf(queries.values())) {
+            endUnsentCalls(open, call -> readerStatus(call) != Status.READY);
         }
     }
 
-    /** That of the reader that a call was meant for; one that has started anew since is another. */
+    /** Status of the reader that the call is meant for: GONE where it has restarted since the decision. */
     private Status readerStatus(Call call) {
-        ReaderEntry reader = list.get(call.send.reader());
+        ReaderEntry reader = readersById.get(call.send.reader());
         return reader == null || reader.startedAt() != call.readerStartedAt ? Status.GONE : reader.status();
     }
 
-    /** Ends calls that still wait for a connection; without it a query that has ended would be sent on. */
-    private void withdrawUnsent(OpenQuery o, Predicate<Call> which) {
-        for (Call call : List.copyOf(o.calls.values())) {
-            if (!call.ended && which.test(call) && (!call.handedOver || readers.withdraw(call))) {
-                callEnded(call, Outcome.MOOT, null, NO_LOAD);
+    /**
+     * Ends the calls that match and are not completely written. Without this, calls that wait for a connection would
+     * be sent although their query has ended.
+     */
+    private void endUnsentCalls(OpenQuery open, Predicate<Call> filter) {
+        for (Call call : List.copyOf(open.calls.values())) {
+            if (!call.ended && filter.test(call) && (!call.handedToTransport || readerTransport.withdraw(call))) {
+                callEnded(call, Outcome.MOOT, null, NO_LOAD_REPORT);
             }
         }
     }
 
     private static void logTransition(ReaderEntry before, ReaderEntry after) {
-        Status was = before == null ? Status.GONE : before.status();
+        Status oldStatus = before == null ? Status.GONE : before.status();
         boolean restarted = before != null && before.startedAt() != after.startedAt();
-        if (was != after.status() || restarted) {
-            LOG.log(Level.INFO, "reader {0}: {1} to {2}{3}", new Object[] {after.id(), was, after.status(),
-                restarted ? ", started anew" : ""});
+        if (oldStatus != after.status() || restarted) {
+            LOG.log(Level.INFO, "reader {0}: {1} to {2}{3}", new Object[] {after.id(), oldStatus, after.status(),
+                restarted ? ", restarted" : ""});
         }
     }
 
-    private void told(ListKind kind, List<ReaderEntry> entries) {
-        List<Dispatcher.Reader> all = entries.stream().map(e -> new Dispatcher.Reader(e.id(),
+    private void notifyDispatchers(ListKind kind, List<ReaderEntry> entries) {
+        List<Dispatcher.Reader> reported = entries.stream().map(e -> new Dispatcher.Reader(e.id(),
                 Math.max(0, site.zones().indexOf(e.zone())), e.cell(), e.status(), e.size(), e.startedAt())).toList();
-        dispatchers().forEach(d -> carryOut(d, d.report(now(), kind, all)));
+        dispatchers().forEach(d -> execute(d, d.report(now(), kind, reported)));
     }
 
-    // ---- carrying out
+    // ---- executing decisions
 
-    /** In the order decided; what is decided in consequence waits its turn. */
-    private void carryOut(Dispatcher by, Decisions decisions) {
-        if (abandoned) {
+    /** Executes decisions in the order in which they were made; those that follow from them are queued behind them. */
+    private void execute(Dispatcher source, Decisions decisions) {
+        if (failed) {
             return;
         }
-        decided.add(new PendingDecisions(by, decisions));
-        if (carryingOut) {
+        pendingDecisions.add(new PendingDecisions(source, decisions));
+        if (executing) {
             return;
         }
-        carryingOut = true;
+        executing = true;
         try {
-            for (PendingDecisions next = decided.poll(); next != null; next = decided.poll()) {
-                Decisions d = next.what();
-                d.cancels().forEach(this::cancel);
-                d.closeIdle().forEach(readers::closeIdle);
-                d.sends().forEach(this::send);
-                d.probes().forEach(this::probe);
-                d.finalAnswers().forEach(e -> {
-                    OpenQuery o = queries.get(e.query());
-                    if (o != null && !o.ended) {
-                        end(o, e);
+            for (PendingDecisions next = pendingDecisions.poll(); next != null; next = pendingDecisions.poll()) {
+                Decisions current = next.decisions();
+                current.cancels().forEach(this::cancel);
+                current.closeIdle().forEach(readerTransport::closeIdle);
+                current.sends().forEach(this::send);
+                current.probes().forEach(this::probe);
+                current.finalAnswers().forEach(answer -> {
+                    OpenQuery open = queries.get(answer.query());
+                    if (open != null && !open.ended) {
+                        endQuery(open, answer);
                     }
                 });
-                wakeIn(next.by(), d.tickDelay());
+                scheduleTick(next.source(), current.tickDelay());
             }
         } finally {
-            carryingOut = false;
+            executing = false;
         }
     }
 
-    /** Where another's question is out, its answer is waited for; it may be lost on the way to us. */
+    /** Sends a probe or, where a peer has one out, awaits its result; a timeout covers results that are lost. */
     private void probe(String reader) {
-        if (commons.claimProbe(reader)) {
+        if (sharedState.claimProbe(reader)) {
             counters.add("probes.sent");
-            readers.probe(reader);
-        } else if (!joined.containsKey(reader)) {
+            readerTransport.probe(reader);
+        } else if (!joinedProbes.containsKey(reader)) {
             counters.add("probes.joined");
-            joined.put(reader, deadlines.schedule(now() + site.connectTimeout(), () -> {
-                joined.remove(reader);
-                told(reader, Outcome.TIMEOUT, site.connectTimeout(), NO_LOAD);
+            joinedProbes.put(reader, timers.schedule(now() + site.connectTimeout(), () -> {
+                joinedProbes.remove(reader);
+                notifyDispatchers(reader, Outcome.TIMEOUT, site.connectTimeout(), NO_LOAD_REPORT);
             }));
         }
     }
 
     /**
-     * Each alarm asked for is kept, also beside an earlier one: the module asks once for the next and counts on
-     * it. Merged with an alarm about to go off, the later one was lost, and silent queries ran overdue.
+     * Schedules a tick beside those already scheduled: the module asks only once for its next tick and relies on it.
+     * When a new tick was merged with one about to run, the later one was lost, and queries without events became
+     * overdue.
      */
-    private void wakeIn(Dispatcher by, long delay) {
+    private void scheduleTick(Dispatcher source, long delay) {
         if (delay > 0) {
-            deadlines.schedule(now() + delay, () -> {
-                if (!abandoned) {
+            timers.schedule(now() + delay, () -> {
+                if (!failed) {
                     applyPendingUpdates();
-                    carryOut(by, by.tick(now()));
+                    execute(source, source.tick(now()));
                 }
             });
         }
     }
 
-    private void send(Send s) {
-        OpenQuery o = queries.get(s.query());
+    private void send(Send send) {
+        OpenQuery open = queries.get(send.query());
         long now = now();
-        Dispatcher.Part part = o == null ? null : o.query.parts().get(s.part());
-        ReaderEntry reader = list.get(s.reader());
-        if (o == null || o.ended || reader == null || !site.holds(reader.cell(), part.shard())) {
-            // The module does not ask for this; the rules on lists and shards are kept here all the same.
-            LOG.log(Level.SEVERE, "not sent: {0}", s);
-            Dispatcher by = o == null ? dispatcher : o.dispatcher;
-            carryOut(by, by.report(now, s, Outcome.MOOT, 0, o == null || o.ended, NO_LOAD));
+        Dispatcher.Part part = open == null ? null : open.query.parts().get(send.part());
+        ReaderEntry reader = readersById.get(send.reader());
+        if (open == null || open.ended || reader == null || !site.holds(reader.cell(), part.shard())) {
+            // The module does not decide this; the rules on the reader list and on shards are enforced all the same.
+            LOG.log(Level.SEVERE, "attempt withheld: its query has ended or its reader does not hold the shard: {0}",
+                    send);
+            Dispatcher source = open == null ? dispatcher : open.dispatcher;
+            execute(source, source.report(now, send, Outcome.MOOT, 0, open == null || open.ended, NO_LOAD_REPORT));
             return;
         }
-        long until = s.timeout() > 0 ? Math.min(o.query.deadline(), now + s.timeout()) : o.query.deadline();
-        Call call = new Call(o.query.id() + "." + part.shard(), part.shard(), s, o.query.text(), now, until,
-                reader.startedAt());
-        o.calls.put(key(s.part(), s.attempt()), call);
-        call.timeout = deadlines.schedule(until, () -> {
-            readers.cancel(call);
-            callEnded(call, Outcome.TIMEOUT, null, NO_LOAD);
+        long waitsUntil = send.timeout() > 0 ? Math.min(open.query.deadline(), now + send.timeout())
+                : open.query.deadline();
+        Call call = new Call(open.query.id() + "." + part.shard(), part.shard(), send, open.query.text(), now,
+                waitsUntil, reader.startedAt());
+        open.calls.put(attemptKey(send.part(), send.attempt()), call);
+        call.timeout = timers.schedule(waitsUntil, () -> {
+            readerTransport.cancel(call);
+            callEnded(call, Outcome.TIMEOUT, null, NO_LOAD_REPORT);
         });
-        counters.add(s.attempt() == 0 ? "attempts.first" : "attempts.further");
-        if (s.attempt() > 0) {
-            events.log("query", o.query.id(), "part", part.shard(), "attempt", s.attempt(), "to", s.reader());
+        counters.add(send.attempt() == 0 ? "attempts.first" : "attempts.further");
+        if (send.attempt() > 0) {
+            events.log("query", open.query.id(), "part", part.shard(), "attempt", send.attempt(), "to", send.reader());
         }
-        if (TRACED) {
-            trace("sent call=%s number=%d reader=%s until=%d", call.partId, s.attempt(), s.reader(), until - now);
+        if (TRACE_ENABLED) {
+            trace("sent call=%s number=%d reader=%s until=%d", call.partId, send.attempt(), send.reader(),
+                    waitsUntil - now);
         }
-        commons.notifySent(s, part, o.query.queryClass(), now, until);
-        if (unsent.isEmpty()) {
-            deadlines.schedule(now, this::handOver);
+        sharedState.notifySent(send, part, open.query.queryClass(), now, waitsUntil);
+        if (queuedCalls.isEmpty()) {
+            timers.schedule(now, this::sendQueuedCalls);
         }
-        unsent.add(call);
+        queuedCalls.add(call);
     }
 
     /**
-     * At the end of a turn, when all that came in it is read: a client that left or a reader that drains goes before
-     * what was decided earlier in the turn.
+     * Passes the queued calls to the transport. Runs at the end of the event-loop iteration, when all that has arrived
+     * is read, so that a client's disconnect or a reader's draining takes effect before calls that were decided
+     * earlier.
      */
-    private void handOver() {
+    private void sendQueuedCalls() {
         applyPendingUpdates();
         try {
-            for (Call call = unsent.poll(); call != null; call = unsent.poll()) {
+            for (Call call = queuedCalls.poll(); call != null; call = queuedCalls.poll()) {
                 if (!call.ended && passesSendCheck(call)) {
-                    call.handedOver = true;
-                    readers.send(call);
+                    call.handedToTransport = true;
+                    readerTransport.send(call);
                 }
             }
         } finally {
-            if (!unsent.isEmpty()) {
-                deadlines.schedule(now(), this::handOver); // one that failed does not hold up the others
+            if (!queuedCalls.isEmpty()) {
+                timers.schedule(now(), this::sendQueuedCalls); // a call that failed must not hold up the others
             }
         }
     }
 
     /**
-     * Looks again at a call whose frame is about to be written.
+     * Checks a call once more right before its frame is written.
      *
-     * @return whether it may leave; where it may not, it has ended
+     * @return whether the call may be sent; if not, it has ended
      */
     public boolean passesSendCheck(Call call) {
-        readList.run();
+        beforeSend.run();
         if (call.ended) {
-            return false; // over what was read
+            return false; // the list changes just read ended it
         }
-        OpenQuery o = queries.get(call.send.query());
-        Optional<SendCheck.WithholdReason> fault = o == null || o.ended
-                ? Optional.of(SendCheck.WithholdReason.QUERY_OVER) : SendCheck.reasonToWithhold(now(), facts(call, o));
-        fault.ifPresent(f -> withhold(call, f));
-        return fault.isEmpty();
+        OpenQuery open = queries.get(call.send.query());
+        Optional<SendCheck.WithholdReason> reason = open == null || open.ended
+                ? Optional.of(SendCheck.WithholdReason.QUERY_OVER)
+                : SendCheck.reasonToWithhold(now(), attemptState(call, open));
+        reason.ifPresent(r -> withhold(call, r));
+        return reason.isEmpty();
     }
 
-    private SendCheck.AttemptState facts(Call call, OpenQuery o) {
-        return new SendCheck.AttemptState(call.deadline, readerStatus(call), o.dispatcher.tryBegin(now(), call.send),
-                o.client.isConnected());
+    private SendCheck.AttemptState attemptState(Call call, OpenQuery open) {
+        return new SendCheck.AttemptState(call.waitsUntil, readerStatus(call),
+                open.dispatcher.tryBegin(now(), call.send), open.client.isConnected());
     }
 
-    private void withhold(Call call, SendCheck.WithholdReason fault) {
-        counters.add("attempts.withheld." + fault.name().toLowerCase());
-        events.log("part", call.partId, "attempt", call.send.attempt(), "not sent to", call.send.reader(), "any more:",
-                fault);
-        if (fault == SendCheck.WithholdReason.CLIENT_LEFT) {
+    private void withhold(Call call, SendCheck.WithholdReason reason) {
+        counters.add("attempts.withheld." + reason.name().toLowerCase());
+        events.log("part", call.partId, "attempt", call.send.attempt(), "withheld from", call.send.reader(),
+                "reason:", reason);
+        if (reason == SendCheck.WithholdReason.CLIENT_LEFT) {
             clientLeft(call.send.query());
         }
-        if (!call.ended && (!call.handedOver || readers.withdraw(call))) {
-            callEnded(call, Outcome.MOOT, null, NO_LOAD);
+        if (!call.ended && (!call.handedToTransport || readerTransport.withdraw(call))) {
+            callEnded(call, Outcome.MOOT, null, NO_LOAD_REPORT);
         }
     }
 
-    private void cancel(Cancel c) {
-        OpenQuery o = queries.get(c.query());
-        Call call = o == null ? null : o.calls.get(key(c.part(), c.attempt()));
+    private void cancel(Cancel cancel) {
+        OpenQuery open = queries.get(cancel.query());
+        Call call = open == null ? null : open.calls.get(attemptKey(cancel.part(), cancel.attempt()));
         if (call != null) {
-            readers.cancel(call);
-            callEnded(call, Outcome.CANCELLED, null, NO_LOAD);
+            readerTransport.cancel(call);
+            callEnded(call, Outcome.CANCELLED, null, NO_LOAD_REPORT);
         }
     }
 
-    private void end(OpenQuery o, FinalAnswer e) {
-        close(o);
-        String verdict = "queries." + e.verdict().name().toLowerCase();
-        counters.add(verdict);
-        if (e.reason() != null) {
-            counters.add(verdict + "." + e.reason().name().toLowerCase());
-            events.log("query", o.query.id(), e.verdict() + ":", e.reason(), "after ms", age(o), "of ms",
-                    (o.query.deadline() - o.takenAt) / US_PER_MS);
+    private void endQuery(OpenQuery open, FinalAnswer answer) {
+        markEnded(open);
+        String counter = "queries." + answer.verdict().name().toLowerCase();
+        counters.add(counter);
+        if (answer.reason() != null) {
+            counters.add(counter + "." + answer.reason().name().toLowerCase());
+            events.log("query", open.query.id(), answer.verdict() + ":", answer.reason(), "after ms", ageMs(open),
+                    "of ms", (open.query.deadline() - open.submittedAt) / US_PER_MS);
         }
-        if (TRACED) {
+        if (TRACE_ENABLED) {
             trace("ended query=%s class=%d tenant=%d verdict=%s reason=%s left=%d values=%d out=%d come_back=%d",
-                    o.query.id(), o.query.queryClass(), o.query.tenant(), e.verdict(), e.reason(),
-                    o.query.deadline() - now(), o.values.size(), o.calls.size(), e.retryAfter());
+                    open.query.id(), open.query.queryClass(), open.query.tenant(), answer.verdict(), answer.reason(),
+                    open.query.deadline() - now(), open.values.size(), open.calls.size(), answer.retryAfter());
         }
-        switch (e.verdict()) {
-            case ANSWERED -> o.client.answered(e.whole(), o.values);
-            case REFUSED -> o.client.refused(e.retryAfter());
-            case FAILED -> o.client.failed("no whole answer in time");
+        switch (answer.verdict()) {
+            case ANSWERED -> open.client.answered(answer.whole(), open.values);
+            case REFUSED -> open.client.refused(answer.retryAfter());
+            case FAILED -> open.client.failed("no whole answer in time");
         }
-        withdrawUnsent(o, call -> true);
-        settle(o);
+        endUnsentCalls(open, call -> true);
+        removeIfFinished(open);
     }
 
-    private long age(OpenQuery o) {
-        return (now() - o.takenAt) / US_PER_MS;
+    private long ageMs(OpenQuery open) {
+        return (now() - open.submittedAt) / US_PER_MS;
     }
 
-    private void close(OpenQuery o) {
-        o.ended = true;
-        commons.releaseId(o.query.id());
-        commons.releaseCapacity(1 + o.query.parts().size());
-        deadlines.cancel(o.lastWord);
+    private void markEnded(OpenQuery open) {
+        open.ended = true;
+        sharedState.releaseId(open.query.id());
+        sharedState.releaseCapacity(1 + open.query.parts().size());
+        timers.cancel(open.overdueTimer);
     }
 
-    /** Forgets a query that has ended, once none of its attempts is out. */
-    private void settle(OpenQuery o) {
-        if (o.ended && o.calls.isEmpty() && queries.remove(o.number) != null) {
-            o.dispatcher.forget(o.number, o.query.parts().size());
+    /** Removes the query if it has ended and none of its calls is in flight. */
+    private void removeIfFinished(OpenQuery open) {
+        if (open.ended && open.calls.isEmpty() && queries.remove(open.number) != null) {
+            open.dispatcher.forget(open.number, open.query.parts().size());
         }
     }
 
-    private static void trace(String form, Object... values) {
-        TRACE.fine(String.format(form, values));
+    private static void trace(String format, Object... values) {
+        TRACE.fine(String.format(format, values));
     }
 
-    private static long key(int part, int attempt) {
+    private static long attemptKey(int part, int attempt) {
         return (long) part << 32 | attempt;
     }
 }
--- a/coordinator/src/main/java/burlford/core/Counters.java
+++ b/coordinator/src/main/java/burlford/core/Counters.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
 
-/** Counts of what came in, went out and was answered, by name. One event loop writes them; any thread may read. */
+/** Counters of events, by name. One event loop writes them; any thread may read them. */
 public final class Counters {
 
     private static final class Count {
@@ -22,8 +22,8 @@
             }
         }
 
-        void add(long by) {
-            VALUE.setOpaque(this, value + by);
+        void add(long amount) {
+            VALUE.setOpaque(this, value + amount);
         }
 
         long get() {
@@ -37,36 +37,36 @@
         add(name, 1);
     }
 
-    public void add(String name, long by) {
-        Count c = counts.get(name);
-        if (c == null) {
-            c = new Count();
-            counts.put(name, c);
+    public void add(String name, long amount) {
+        Count count = counts.get(name);
+        if (count == null) {
+            count = new Count();
+            counts.put(name, count);
         }
-        c.add(by);
+        count.add(amount);
     }
 
     public long get(String name) {
-        Count c = counts.get(name);
-        return c == null ? 0 : c.get();
+        Count count = counts.get(name);
+        return count == null ? 0 : count.get();
     }
 
-    /** Tells all counts, in no order. */
-    public void forEach(BiConsumer<String, Long> to) {
-        counts.forEach((name, count) -> to.accept(name, count.get()));
+    /** Passes name and value of each counter to the consumer, in no particular order. */
+    public void forEach(BiConsumer<String, Long> consumer) {
+        counts.forEach((name, count) -> consumer.accept(name, count.get()));
     }
 
-    /** One line each: the name, a space, the count. */
+    /** All counters as text, sorted by name; one line each: the name, a space, the count. */
     public String text() {
         Map<String, Long> sorted = new TreeMap<>();
         forEach(sorted::put);
         return text(sorted);
     }
 
-    /** The same of counts put together by the caller. */
+    /** The given counts as text, in the same form. */
     public static String text(Map<String, Long> sorted) {
-        StringBuilder out = new StringBuilder();
-        sorted.forEach((name, count) -> out.append(name).append(' ').append(count).append('\n'));
-        return out.toString();
+        StringBuilder lines = new StringBuilder();
+        sorted.forEach((name, count) -> lines.append(name).append(' ').append(count).append('\n'));
+        return lines.toString();
     }
 }
--- a/coordinator/src/main/java/burlford/core/EventLog.java
+++ b/coordinator/src/main/java/burlford/core/EventLog.java
@@ -5,8 +5,8 @@
 import java.util.logging.Logger;
 
 /**
- * Logs events of single queries, attempts and connections, so that an incident can be followed afterwards. Bounded: of
- * more events than {@link #MAX_EVENTS_PER_SECOND} the rest of that second's are only counted. Not thread-safe.
+ * Logs events of single queries, attempts and connections, so that incidents can be analysed afterwards. At most
+ * {@link #MAX_EVENTS_PER_SECOND} events are logged per second; further ones are only counted. Not thread-safe.
  */
 public final class EventLog {
 
@@ -16,27 +16,27 @@
     private final Logger logger;
     private final LongSupplier clock;
     private long secondStartedAt;
-    private int logged;
+    private int loggedThisSecond;
     private long omitted;
 
-    /** clock: microseconds. */
+    /** source: the class under whose logger events are logged. clock: microseconds. */
     public EventLog(Class<?> source, LongSupplier clock) {
         this.logger = Logger.getLogger(source.getName());
         this.clock = clock;
         this.secondStartedAt = clock.getAsLong();
     }
 
-    /** Logs the words, separated by spaces, unless this second had its share. */
+    /** Logs the words, separated by spaces, unless the limit for this second is reached. */
     public void log(Object... words) {
         if (!logger.isLoggable(Level.INFO)) {
             return;
         }
-        startSecond();
-        if (logged >= MAX_EVENTS_PER_SECOND) {
+        startNewSecondIfDue();
+        if (loggedThisSecond >= MAX_EVENTS_PER_SECOND) {
             omitted++;
             return;
         }
-        logged++;
+        loggedThisSecond++;
         StringBuilder line = new StringBuilder();
         for (Object word : words) {
             line.append(line.isEmpty() ? "" : " ").append(word);
@@ -44,13 +44,13 @@
         logger.logp(Level.INFO, logger.getName(), null, line.toString());
     }
 
-    private void startSecond() {
+    private void startNewSecondIfDue() {
         long now = clock.getAsLong();
         if (now - secondStartedAt < SECOND_US) {
             return;
         }
         secondStartedAt = now;
-        logged = 0;
+        loggedThisSecond = 0;
         if (omitted > 0) {
             logger.logp(Level.INFO, logger.getName(), null, omitted + " further events were not logged");
             omitted = 0;
--- a/coordinator/src/main/java/burlford/core/Query.java
+++ b/coordinator/src/main/java/burlford/core/Query.java
@@ -5,26 +5,37 @@
 import java.util.List;
 
 /**
- * A query as either front hands it over. id names it to the readers, text is what each part carries. The
- * client waits until deadline, on the coordinator's clock.
+ * A client's query as a front submits it.
+ *
+ * @param id names the query to the readers
+ * @param queryClass index of its class in the settings
+ * @param tenant index of its tenant in the settings
+ * @param key identifies what the query is about; 0: nothing in particular
+ * @param retry whether the client marked the query as a retry
+ * @param deadline when the client stops waiting, in microseconds on the coordinator's clock
+ * @param text the query's text, which each part carries to its reader
  */
 public record Query(String id, int queryClass, int tenant, long key, boolean retry, long deadline, byte[] text,
         List<Part> parts) {
 
-    /** The client counts from when it sent; its request and our answer take their time on the way. */
-    private static final long ON_THE_WAY = 5_000;
+    /** Allowance for the transit of request and answer, since the client's waiting time starts when it sends. */
+    private static final long TRANSIT_ALLOWANCE_US = 5_000;
 
-    /** When to have answered a client that waits so long from the arrival of its query. */
+    /**
+     * Deadline of a query that arrived at the given time, in microseconds, and whose client waits the given number of
+     * milliseconds.
+     */
     public static long deadline(long arrivedAt, long waitMs) {
-        return arrivedAt + Math.max(1, waitMs * 1000 - ON_THE_WAY);
+        return arrivedAt + Math.max(1, waitMs * 1000 - TRANSIT_ALLOWANCE_US);
     }
 
-    Query withDeadlineAtMost(long time) {
-        return deadline <= time ? this
-                : new Query(id, queryClass, tenant, key, retry, time, text, parts);
+    /** This query, with the deadline capped at the given time. */
+    Query withDeadlineAtMost(long latest) {
+        return deadline <= latest ? this
+                : new Query(id, queryClass, tenant, key, retry, latest, text, parts);
     }
 
-    /** What a query is about, as a number: 16 hex digits are one already. 0: nothing. */
+    /** Key for a name: 16 hex digits are the key itself, other names are hashed; 0 for an empty name. */
     public static long key(String name) {
         if (name.isEmpty()) {
             return 0;
@@ -32,7 +43,7 @@
         return name.matches("[0-9a-f]{16}") ? Long.parseUnsignedLong(name, 16) : Dispatcher.hash(name);
     }
 
-    /** A part's key stands for its query's and the shard. */
+    /** Key of a part: a hash of the query's key and the shard; 0 where the query has no key. */
     public static long partKey(long key, int shard) {
         return key == 0 ? 0 : Dispatcher.hash(key + "." + shard);
     }
--- a/coordinator/src/main/java/burlford/core/ReaderConnectionLimits.java
+++ b/coordinator/src/main/java/burlford/core/ReaderConnectionLimits.java
@@ -1,40 +1,45 @@
 package burlford.core;
 
-/** How many connections to readers the process has; each coordinator has its own view, called on its event loop. */
+/**
+ * Counts and limits the connections to readers of the whole process. Each coordinator has its own view of them and
+ * calls it on its event loop only.
+ */
 public interface ReaderConnectionLimits {
 
     void opened(String reader);
 
     void closed(String reader);
 
-    /** All that are open. */
+    /** Number of connections to readers that the process has open. */
     int openCount();
 
-    /** One more to this reader is within bounds, where this coordinator has so many itself. */
-    boolean mayOpen(String reader, int own);
+    /**
+     * Whether another connection to the reader is within the limits. ownCount: how many this coordinator has to it.
+     */
+    boolean mayOpen(String reader, int ownCount);
 
-    /** That of a process with one coordinator: what it needs it opens. */
+    /** Counts of a process with a single coordinator, without a limit per reader. */
     static ReaderConnectionLimits singleLane() {
         return new ReaderConnectionLimits() {
-            private int open;
+            private int openCount;
 
             @Override
             public void opened(String reader) {
-                open++;
+                openCount++;
             }
 
             @Override
             public void closed(String reader) {
-                open--;
+                openCount--;
             }
 
             @Override
             public int openCount() {
-                return open;
+                return openCount;
             }
 
             @Override
-            public boolean mayOpen(String reader, int own) {
+            public boolean mayOpen(String reader, int ownCount) {
                 return true;
             }
         };
--- a/coordinator/src/main/java/burlford/core/ReaderRegistry.java
+++ b/coordinator/src/main/java/burlford/core/ReaderRegistry.java
@@ -3,18 +3,19 @@
 import burlford.policy.Aggregator.ListKind;
 import java.util.List;
 
-/** Whoever holds the list of readers: those who follow a source of it tell it here. One event loop calls it. */
+/** Holds the reader list, which the sources of the list update. One event loop calls it. */
 public interface ReaderRegistry {
 
-    /** The list, or what changed of it. */
+    /** Applies a reader list or changes of it. */
     void updateReaders(ListKind kind, List<ReaderEntry> entries);
 
-    /** The list as held now. */
+    /** The current reader list. */
     List<ReaderEntry> readers();
 
-    /** Runs after each change of the list. */
+    /** Sets the action that runs after each change of the reader list. */
     void onReadersUpdated(Runnable action);
 
+    /** The settings in force. */
     Site site();
 
     Counters counters();
--- a/coordinator/src/main/java/burlford/core/ReaderTransport.java
+++ b/coordinator/src/main/java/burlford/core/ReaderTransport.java
@@ -1,24 +1,26 @@
 package burlford.core;
 
-/** What the coordinator asks of the readers' side. Results come back through the coordinator's calls. */
+/** The outgoing side towards the readers. The results of calls and probes are reported to the {@link Coordinator}. */
 public interface ReaderTransport {
 
-    /** Sends one part. The call ends by one report to the coordinator, unless it is given up first. */
+    /** Sends a call. Its end is reported to the coordinator once, unless it is cancelled or withdrawn before. */
     void send(Call call);
 
-    /** Gives a call up: the reader is told, and nothing more is reported of it. */
+    /** Cancels a call: the reader is notified, and nothing more is reported of the call. */
     void cancel(Call call);
 
-    /** Takes back a call of which nothing was written yet; false: it may be on its way. */
+    /** Withdraws a call that is not completely written yet; false where it is: the reader may get it. */
     boolean withdraw(Call call);
 
-    /** Asks a reader for its load; ends by one report to the coordinator. */
+    /** Sends a probe, whose end is reported to the coordinator once. */
     void probe(String reader);
 
+    /** Closes the idle connections to a reader. */
     void closeIdle(String reader);
 
-    /** The list changed: whom to reach where. */
+    /** A reader's entry in the reader list is new or has changed. */
     void updateReader(ReaderEntry entry);
 
+    /** A reader has left the reader list. */
     void removeReader(String reader);
 }
--- a/coordinator/src/main/java/burlford/core/SharedState.java
+++ b/coordinator/src/main/java/burlford/core/SharedState.java
@@ -7,49 +7,56 @@
 import java.util.List;
 
 /**
- * What the coordinators of one process hold together, as one of them sees it; a coordinator that is alone holds it for
- * itself. Each has its own of these, called on its event loop alone.
+ * State that the coordinators of one process share, as one of them sees it: ids and number of open queries, probes,
+ * peer updates. Each coordinator has its own instance and calls it on its event loop only. All times are microseconds.
  */
 public interface SharedState {
 
     /**
-     * Before each decision: what was told to all coordinators and not yet taken here (lists, settings) is taken now,
-     * through the calls it would come by otherwise.
+     * Applies the broadcasts (reader lists, settings) that were published to all coordinators and not yet applied
+     * here, by the same calls that would deliver them otherwise. To be called before each decision.
      */
     void applyBroadcasts();
 
-    /** Takes the id of a query; false where one of that id is open, on whatever coordinator. */
+    /** Claims the id of a query; false where a query with that id is open on any coordinator of the process. */
     boolean claimId(String id);
 
-    /** The query of an id that was claimed here has ended. */
+    /** Releases an id that was claimed here, since its query has ended. */
     void releaseId(String id);
 
-    /** Takes room for so many queries and parts out of most; false, and nothing taken, where there is not so much. */
-    boolean tryAcquireCapacity(int units, int most);
+    /**
+     * Acquires capacity for open queries and parts, all or nothing.
+     *
+     * @param units number of queries and parts to be added
+     * @param limit open queries and parts of the process, at most
+     * @return false where the limit does not allow that many; then nothing is acquired
+     */
+    boolean tryAcquireCapacity(int units, int limit);
 
+    /** Gives back capacity that was acquired here. units: number of queries and parts. */
     void releaseCapacity(int units);
 
-    /** A number for a query, above 0, that no coordinator uses twice. */
+    /** The next query number: above 0 and unique in the process. */
     long nextQueryNumber();
 
-    /** Another may ask this reader for its load; false: a question is out, and what comes of it will be heard. */
+    /** Claims the probe of this reader; false where one is out already, whose result arrives as a peer update. */
     boolean claimProbe(String reader);
 
-    /** Tells the others that an attempt was sent; sooner or later, or never: they must do without. */
-    void notifySent(Send send, Part part, int queryClass, long at, long until);
+    /** Notifies the peers that an attempt was sent. Peer updates may be late or lost, so peers must cope without. */
+    void notifySent(Send send, Part part, int queryClass, long sentAt, long waitsUntil);
 
-    /** Tells them that one has ended. load: the reader's report, or empty. */
-    void notifyEnded(Send send, Outcome outcome, long at, long elapsed, double[] load);
+    /** Notifies the peers that an attempt has ended. loadReport: the reader's load report, or empty. */
+    void notifyEnded(Send send, Outcome outcome, long endedAt, long elapsed, double[] loadReport);
 
-    /** Tells them what came of a probe; whoever waits for it is woken. */
-    void notifyProbed(String reader, Outcome outcome, long at, long elapsed, double[] load);
+    /** Notifies the peers of a probe's result and wakes those that await it. */
+    void notifyProbed(String reader, Outcome outcome, long endedAt, long elapsed, double[] loadReport);
 
-    /** What the others said since last asked, oldest first. */
+    /** Takes the peer updates received since the last call, oldest first. */
     List<PeerUpdate> pollPeerUpdates();
 
     /**
-     * Microseconds by which what came in of late may be older than it looks, since this coordinator's loop stood
-     * still; 0 where it did not.
+     * Microseconds for which this coordinator's event loop was stalled; what is read now may have arrived that much
+     * earlier. 0 where it was not stalled.
      */
     long stallUs();
 }
--- a/coordinator/src/main/java/burlford/core/SingleLaneState.java
+++ b/coordinator/src/main/java/burlford/core/SingleLaneState.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** The commons of a coordinator that is the only one of its process. */
+/** The {@link SharedState} of a process with only one coordinator. */
 public final class SingleLaneState implements SharedState {
 
-    private final Set<String> ids = new HashSet<>();
-    private int open;
-    private long lastNumber;
-    private final LongSupplier stoodStill;
+    private final Set<String> openIds = new HashSet<>();
+    private int openUnits;
+    private long lastQueryNumber;
+    private final LongSupplier stallUs;
 
-    /** stoodStill: by how many microseconds what is read now may be older than it looks. */
-    public SingleLaneState(LongSupplier stoodStill) {
-        this.stoodStill = stoodStill;
+    /** stallUs: microseconds for which the event loop was stalled, as for {@link #stallUs()}. */
+    public SingleLaneState(LongSupplier stallUs) {
+        this.stallUs = stallUs;
     }
 
     @Override
@@ -27,31 +27,31 @@
 
     @Override
     public boolean claimId(String id) {
-        return ids.add(id);
+        return openIds.add(id);
     }
 
     @Override
     public void releaseId(String id) {
-        ids.remove(id);
+        openIds.remove(id);
     }
 
     @Override
-    public boolean tryAcquireCapacity(int units, int most) {
-        if (open + units > most) {
+    public boolean tryAcquireCapacity(int units, int limit) {
+        if (openUnits + units > limit) {
             return false;
         }
-        open += units;
+        openUnits += units;
         return true;
     }
 
     @Override
     public void releaseCapacity(int units) {
-        open -= units;
+        openUnits -= units;
     }
 
     @Override
     public long nextQueryNumber() {
-        return ++lastNumber;
+        return ++lastQueryNumber;
     }
 
     @Override
@@ -60,13 +60,13 @@
     }
 
     @Override
-    public void notifySent(Send send, Part part, int queryClass, long at, long until) { }
+    public void notifySent(Send send, Part part, int queryClass, long sentAt, long waitsUntil) { }
 
     @Override
-    public void notifyEnded(Send send, Outcome outcome, long at, long elapsed, double[] load) { }
+    public void notifyEnded(Send send, Outcome outcome, long endedAt, long elapsed, double[] loadReport) { }
 
     @Override
-    public void notifyProbed(String reader, Outcome outcome, long at, long elapsed, double[] load) { }
+    public void notifyProbed(String reader, Outcome outcome, long endedAt, long elapsed, double[] loadReport) { }
 
     @Override
     public List<PeerUpdate> pollPeerUpdates() {
@@ -75,6 +75,6 @@
 
     @Override
     public long stallUs() {
-        return stoodStill.getAsLong();
+        return stallUs.getAsLong();
     }
 }
--- a/coordinator/src/main/java/burlford/core/Timers.java
+++ b/coordinator/src/main/java/burlford/core/Timers.java
@@ -3,48 +3,52 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** All that is due at some time, sorted by when. Swept once each turn of the event loop; there is no other timer. */
+/**
+ * The timers of an event loop, which runs those that are due once in each iteration; there are no other timers. All
+ * times are microseconds.
+ */
 public final class Timers {
 
-    /** Something due; the holder may call it off. */
+    /** A scheduled action, which can be cancelled. */
     public static final class Timer {
-        private final long at;
-        private final long order;
+        private final long dueAt;
+        private final long sequence;
         private final Runnable action;
 
-        private Timer(long at, long order, Runnable action) {
-            this.at = at;
-            this.order = order;
+        private Timer(long dueAt, long sequence, Runnable action) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
             this.action = action;
         }
     }
 
-    private final TreeSet<Timer> sorted = new TreeSet<>(
-            Comparator.comparingLong((Timer d) -> d.at).thenComparingLong(d -> d.order));
-    private long order;
+    private final TreeSet<Timer> timers = new TreeSet<>(
+            Comparator.comparingLong((Timer d) -> d.dueAt).thenComparingLong(d -> d.sequence));
+    private long nextSequence;
 
-    public Timer schedule(long time, Runnable action) {
-        Timer d = new Timer(time, order++, action);
-        sorted.add(d);
-        return d;
+    /** Schedules an action; actions due at the same time run in the order in which they were scheduled. */
+    public Timer schedule(long dueAt, Runnable action) {
+        Timer timer = new Timer(dueAt, nextSequence++, action);
+        timers.add(timer);
+        return timer;
     }
 
-    /** Calls a deadline off; null and one that has passed are fine. */
-    public void cancel(Timer d) {
-        if (d != null) {
-            sorted.remove(d);
+    /** Cancels a timer; does nothing if the timer is null or has already run. */
+    public void cancel(Timer timer) {
+        if (timer != null) {
+            timers.remove(timer);
         }
     }
 
-    /** When the next one is due; Long.MAX_VALUE when there is none. */
+    /** When the next timer is due; Long.MAX_VALUE where there is none. */
     public long nextDueAt() {
-        return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().at;
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.first().dueAt;
     }
 
-    /** Runs what is due by now, earliest first. What is added meanwhile waits for the next turn unless due. */
+    /** Runs the timers that are due, earliest first, also those that are scheduled meanwhile and already due. */
     public void runDue(long now) {
-        while (!sorted.isEmpty() && sorted.first().at <= now) {
-            sorted.pollFirst().action.run();
+        while (!timers.isEmpty() && timers.first().dueAt <= now) {
+            timers.pollFirst().action.run();
         }
     }
 }
--- a/coordinator/src/main/java/burlford/core/package-info.java
+++ b/coordinator/src/main/java/burlford/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Open queries between whoever asks and the readers, what is due when, and counts. Knows no wire and no front: those
- * come in through its interfaces. May use {@code policy} alone.
+ * The open queries between the clients' fronts and the readers, with timers and counters. Independent of wire
+ * protocols and fronts, which are attached through the interfaces of this package. May use only {@code policy}.
  */
 package burlford.core;
--- a/coordinator/src/main/java/burlford/discovery/DiscoveryRequest.java
+++ b/coordinator/src/main/java/burlford/discovery/DiscoveryRequest.java
@@ -22,32 +22,37 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** One request to discovery on a connection of its own, and its answer: JSON objects for as long as it goes on. */
+/**
+ * An HTTP request to discovery on a connection of its own; the response is a stream of JSON objects, which may go on.
+ */
 final class DiscoveryRequest {
 
-    /** A whole list of 3,200 readers, indented, is about 1 MB. */
-    private static final int LONGEST_OBJECT_BYTES = 4 << 20;
-    private static final int OK = 200;
+    /** Longest list that is accepted; a whole list of 3,200 readers, indented, is about 1 MB. */
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
+    private static final int HTTP_OK = 200;
 
-    /** Hears of the call on its event loop, until it has ended. */
+    /** Receives the events of a request on its event loop, until the request has ended. */
     interface Listener {
 
-        /** The answer has begun: discovery took the request. */
-        void responseStarted(DiscoveryRequest call);
+        /** Discovery has accepted the request: the response has begun with status 200. */
+        void responseStarted(DiscoveryRequest request);
 
-        /** A part of a list came; the rest is still to come. */
-        void listProgressed(DiscoveryRequest call);
+        /** A piece of a list has arrived; more of it is to come. */
+        void listProgressed(DiscoveryRequest request);
 
-        /** White space came, or the end of a list: discovery has nothing more to say for now. */
-        void heartbeatReceived(DiscoveryRequest call);
+        /** White space or the end of a list has arrived: discovery has nothing more to send for now. */
+        void heartbeatReceived(DiscoveryRequest request);
 
-        void listReceived(DiscoveryRequest call, JsonNode list);
+        /** A list has arrived, whole or changes. */
+        void listReceived(DiscoveryRequest request, JsonNode list);
 
-        /** What came is no JSON. */
-        void listMalformed(DiscoveryRequest call, String why);
+        /** What has arrived is not a JSON object. */
+        void listMalformed(DiscoveryRequest request, String reason);
 
-        /** The connection is over, or never came up. Not told of a call that was closed from this side. */
-        void ended(DiscoveryRequest call, String why);
+        /**
+         * The connection has ended or could not be opened. Not called for a request that was closed from this side.
+         */
+        void requestEnded(DiscoveryRequest request, String reason);
     }
 
     private final InetSocketAddress address;
@@ -56,7 +61,7 @@
     private final Listener listener;
     final long openedAt;
     private Channel channel;
-    private boolean over;
+    private boolean closed;
 
     DiscoveryRequest(InetSocketAddress address, String uri, ObjectMapper json, long openedAt, Listener listener) {
         this.address = address;
@@ -67,87 +72,87 @@
     }
 
     void open(Bootstrap bootstrap) {
-        channel = Connector.connect(bootstrap, address, this::request,
+        channel = Connector.connect(bootstrap, address, this::sendRequest,
                 cause -> end("no connection: " + cause.getMessage()), new HttpClientCodec(), new ResponseHandler());
     }
 
-    /** Ends it; nothing more of it is told. */
+    /** Closes the request's connection; the listener is not called any more. */
     void close() {
-        over = true;
+        closed = true;
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Reads what has come and the event loop has not got to. */
+    /** Reads what has arrived and the event loop has not read yet. */
     void readNow() {
         if (channel != null) {
             ChannelReads.readNow(channel);
         }
     }
 
-    private void request() {
+    private void sendRequest() {
         DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         get.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         channel.writeAndFlush(get);
     }
 
-    private void end(String why) {
-        if (!over) {
+    private void end(String reason) {
+        if (!closed) {
             close();
-            listener.ended(this, why);
+            listener.requestEnded(this, reason);
         }
     }
 
     private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
-        private JsonObjectStream objects;
+        private JsonObjectStream objectStream;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) throws IOException {
-            objects = new JsonObjectStream(json, LONGEST_OBJECT_BYTES);
+            objectStream = new JsonObjectStream(json, MAX_OBJECT_BYTES);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject in) throws IOException {
-            if (over) {
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
+            if (closed) {
                 return;
             }
-            if (in instanceof HttpResponse response) {
-                begin(response);
+            if (message instanceof HttpResponse response) {
+                handleHead(response);
             }
-            if (in instanceof HttpContent content && !over) {
-                read(ByteBufUtil.getBytes(content.content()));
+            if (message instanceof HttpContent content && !closed) {
+                handleBody(ByteBufUtil.getBytes(content.content()));
             }
-            if (in instanceof LastHttpContent) {
-                end("the answer is over");
+            if (message instanceof LastHttpContent) {
+                end("the response is complete");
             }
         }
 
-        private void begin(HttpResponse response) {
-            if (response.status().code() == OK) {
+        private void handleHead(HttpResponse response) {
+            if (response.status().code() == HTTP_OK) {
                 listener.responseStarted(DiscoveryRequest.this);
             } else {
-                end("status " + response.status());
+                end("HTTP status " + response.status());
             }
         }
 
-        private void read(byte[] bytes) throws IOException {
+        private void handleBody(byte[] bytes) throws IOException {
             if (bytes.length == 0) {
                 return;
             }
             try {
-                objects.feed(bytes, list -> {
-                    if (!over) {
+                objectStream.feed(bytes, list -> {
+                    if (!closed) {
                         listener.listReceived(DiscoveryRequest.this, list);
                     }
                 });
             } catch (JsonProcessingException e) {
                 listener.listMalformed(DiscoveryRequest.this, e.getOriginalMessage());
             }
-            if (over) {
+            if (closed) {
                 return;
             }
-            if (objects.inObject()) {
+            if (objectStream.inObject()) {
                 listener.listProgressed(DiscoveryRequest.this);
             } else {
                 listener.heartbeatReceived(DiscoveryRequest.this);
@@ -156,7 +161,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end(objects.inObject() ? "ended in the middle of a list" : "ended");
+            end(objectStream.inObject() ? "connection closed in the middle of a list" : "connection closed");
         }
 
         @Override
--- a/coordinator/src/main/java/burlford/discovery/JsonObjectStream.java
+++ b/coordinator/src/main/java/burlford/discovery/JsonObjectStream.java
@@ -11,62 +11,62 @@
 import java.util.function.Consumer;
 
 /**
- * Parses a stream of JSON objects that arrives in pieces of any size. White space, line breaks among it, may stand
+ * Parses a stream of JSON objects that arrives in pieces of any size. White space, including line breaks, is allowed
  * between objects and within them.
  */
 final class JsonObjectStream {
 
     private final ObjectMapper json;
-    private final int longestObject;
+    private final int maxObjectBytes;
     private final JsonParser parser;
     private final ByteArrayFeeder input;
-    private TokenBuffer object;
+    private TokenBuffer currentObject;
     private int depth;
     private long objectBytes;
 
-    /** longestObject: bytes; a longer one fails. */
-    JsonObjectStream(ObjectMapper json, int longestObject) throws IOException {
+    /** maxObjectBytes: a longer object is an error. */
+    JsonObjectStream(ObjectMapper json, int maxObjectBytes) throws IOException {
         this.json = json;
-        this.longestObject = longestObject;
+        this.maxObjectBytes = maxObjectBytes;
         parser = json.getFactory().createNonBlockingByteArrayParser();
         input = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Parses the next bytes and hands over each object that they complete; throws where they are no JSON objects. */
+    /** Parses the next bytes and passes on each object that they complete; throws where they are not JSON objects. */
     void feed(byte[] bytes, Consumer<JsonNode> completed) throws IOException {
         objectBytes += bytes.length;
         input.feedInput(bytes, 0, bytes.length);
         for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
-            take(token, completed);
+            handleToken(token, completed);
         }
         if (!inObject()) {
             objectBytes = 0;
-        } else if (objectBytes > longestObject) {
-            throw new JsonParseException(parser, "an object is longer than " + longestObject + " bytes");
+        } else if (objectBytes > maxObjectBytes) {
+            throw new JsonParseException(parser, "an object is longer than " + maxObjectBytes + " bytes");
         }
     }
 
-    /** An object has begun and not ended. */
+    /** Whether an object has begun and is not complete. */
     boolean inObject() {
         return depth > 0;
     }
 
-    private void take(JsonToken token, Consumer<JsonNode> completed) throws IOException {
+    private void handleToken(JsonToken token, Consumer<JsonNode> completed) throws IOException {
         if (depth == 0) {
             if (token != JsonToken.START_OBJECT) {
-                throw new JsonParseException(parser, "not an object");
+                throw new JsonParseException(parser, "expected a JSON object");
             }
-            object = new TokenBuffer(parser);
+            currentObject = new TokenBuffer(parser);
         }
-        object.copyCurrentEvent(parser);
+        currentObject.copyCurrentEvent(parser);
         if (token.isStructStart()) {
             depth++;
         } else if (token.isStructEnd()) {
             depth--;
         }
         if (depth == 0) {
-            JsonNode node = json.readTree(object.asParser());
-            object = null;
+            JsonNode node = json.readTree(currentObject.asParser());
+            currentObject = null;
             completed.accept(node);
         }
     }
--- a/coordinator/src/main/java/burlford/discovery/ReaderListParser.java
+++ b/coordinator/src/main/java/burlford/discovery/ReaderListParser.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Discovery's JSON form of the list. Fields it does not know are skipped. */
+/** Parses discovery's JSON form of the reader list. Unknown fields are ignored. */
 public final class ReaderListParser {
 
-    /** A list that cannot be used; the message says why. */
+    /** A reader list that cannot be used; the message says why. */
     public static final class MalformedListException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -19,51 +19,54 @@
         }
     }
 
+    /** A reader list (complete) or changes of the list, at a revision of discovery's. */
     public record ReaderList(long revision, boolean complete, List<ReaderEntry> entries) { }
 
     private ReaderListParser() { }
 
-    /** cells: how many the settings have. */
+    /** Parses a reader list. cells: number of cells in the settings. */
     public static ReaderList parse(JsonNode list, int cells) throws MalformedListException {
         if (list == null || !list.isObject() || !list.path("revision").isIntegralNumber()
                 || !list.path("complete").isBoolean() || !list.path("members").isArray()) {
             throw new MalformedListException("a list needs revision, complete and members");
         }
         List<ReaderEntry> entries = new ArrayList<>();
-        for (JsonNode m : list.get("members")) {
-            entries.add(entry(m, cells));
+        for (JsonNode member : list.get("members")) {
+            entries.add(parseMember(member, cells));
         }
         return new ReaderList(list.get("revision").longValue(), list.get("complete").booleanValue(), entries);
     }
 
-    private static ReaderEntry entry(JsonNode m, int cells) throws MalformedListException {
-        String id = m.path("id").asText("");
-        String address = m.path("host_port").asText("");
-        Status status = switch (m.path("phase").asText("")) {
+    private static ReaderEntry parseMember(JsonNode member, int cells) throws MalformedListException {
+        String id = member.path("id").asText("");
+        String address = member.path("host_port").asText("");
+        Status status = switch (member.path("phase").asText("")) {
             case "Ready" -> Status.READY;
             case "Terminating" -> Status.DRAINING;
             case "Gone" -> Status.GONE;
-            default -> throw new MalformedListException("member " + id + " has the unknown phase " + m.path("phase"));
+            default -> throw new MalformedListException("member " + id + " has the unknown phase "
+                    + member.path("phase"));
         };
         int colon = address.lastIndexOf(':');
         int port = 0;
         try {
             port = Integer.parseInt(address.substring(colon + 1));
         } catch (NumberFormatException e) {
-            // told below
+            // reported below, as port 0
         }
         String host = address.substring(0, Math.max(0, colon));
-        // A name would be looked up when it is connected to, and the event loop would wait for that.
+        // Connecting to a host name would need a look-up of the name, which would block the event loop.
         boolean reachable = port > 0 && port < 65536
                 && (NetUtil.isValidIpV4Address(host) || NetUtil.isValidIpV6Address(host));
-        if (id.isEmpty() || status != Status.GONE && (!reachable || !m.path("cell").isIntegralNumber())) {
-            throw new MalformedListException("a member lacks its id, a numeric host_port or its cell: " + m);
+        if (id.isEmpty() || status != Status.GONE && (!reachable || !member.path("cell").isIntegralNumber())) {
+            throw new MalformedListException("a member lacks its id, a numeric host_port or its cell: " + member);
         }
-        // Counted round, such a cell would stand for another, whose shards the reader does not hold.
-        if (status != Status.GONE && (m.path("cell").asLong() < 0 || m.path("cell").asLong() >= cells)) {
-            throw new MalformedListException("member " + id + " has cell " + m.path("cell") + " of " + cells);
+        // Taken modulo the number of cells, such a cell would stand for another, whose shards the reader does not hold.
+        if (status != Status.GONE && (member.path("cell").asLong() < 0 || member.path("cell").asLong() >= cells)) {
+            throw new MalformedListException("member " + id + " has cell " + member.path("cell") + " of " + cells);
         }
-        return new ReaderEntry(id, reachable ? host : "", port, m.path("locality").asText(""),
-                m.path("cell").asInt(), status, m.path("size").asDouble(1), m.path("up_since_ms").asLong(0) * 1000);
+        return new ReaderEntry(id, reachable ? host : "", port, member.path("locality").asText(""),
+                member.path("cell").asInt(), status, member.path("size").asDouble(1),
+                member.path("up_since_ms").asLong(0) * 1000);
     }
 }
--- a/coordinator/src/main/java/burlford/discovery/Watch.java
+++ b/coordinator/src/main/java/burlford/discovery/Watch.java
@@ -14,194 +14,198 @@
 import java.util.logging.Logger;
 
 /**
- * Follows discovery: a watch from the last revision held, opened again whenever it ends. Where no list is
- * held, and after one that could not be used, the whole list is fetched first.
+ * Follows discovery's reader list by a watch request from the last revision held, which is repeated whenever it ends.
+ * If no list is held, or the last one was malformed, the whole list is fetched first.
  *
- * <p>A call that stays silent is not waited for: another is opened beside it, and the first that says something stays,
- * so that neither one that hangs nor one that is slow keeps a change back.
+ * <p>If a request stays silent, another is opened beside it, and the first one to receive data is kept: neither a
+ * request that hangs nor one that is slow delays a change.
  */
 public final class Watch {
 
     private static final Logger LOG = Logger.getLogger(Watch.class.getName());
     private static final String PATH = "/v1/servers";
-    /** After a call has ended; doubled each time without a list, within the grace of a drain. */
-    private static final long FIRST_RETRY_US = 50_000;
-    private static final long LONGEST_RETRY_US = 250_000;
-    /** An empty line comes every 2 s: a watch that says less has fallen silent. */
+    /**
+     * Delay after a request has ended; doubled each time without a list, up to a limit within a drain's grace period.
+     */
+    private static final long MIN_RETRY_DELAY_US = 50_000;
+    private static final long MAX_RETRY_DELAY_US = 250_000;
+    /** Discovery sends an empty line every 2 s; a watch that receives nothing for this long counts as silent. */
     private static final long WATCH_SILENCE_US = 2_500_000;
-    /** A call that was never answered is joined by another after so long. */
-    private static final long CALL_SILENCE_US = 600_000;
-    /** A list that comes in pieces is waited for so long. */
-    private static final long LONGEST_LIST_US = 3_000_000;
-    /** Far within the grace of a drain, which begins when a change has come, not when it is read. */
-    private static final long READ_AGAIN_US = 20_000;
-    /** Past this the oldest call is closed. */
-    private static final int MOST_CALLS = 8;
+    /** If a request is not answered within this time, another is opened beside it. */
+    private static final long REQUEST_SILENCE_US = 600_000;
+    /** A list that arrives in pieces is awaited for this long. */
+    private static final long LIST_TIMEOUT_US = 3_000_000;
+    /** Far below the grace period of a drain, which begins when the change arrives, not when it is read. */
+    private static final long MIN_READ_INTERVAL_US = 20_000;
+    /** Limit on open requests; at the limit the oldest is closed before another is opened. */
+    private static final int MAX_REQUESTS = 8;
 
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
-    private final ReaderRegistry roster;
-    private final Timers deadlines;
+    private final ReaderRegistry readerRegistry;
+    private final Timers timers;
     private final ObjectMapper json = new ObjectMapper();
-    private final RequestListener answers = new RequestListener();
-    /** Oldest first. */
-    private final Deque<DiscoveryRequest> calls = new ArrayDeque<>();
+    private final RequestListener requestListener = new RequestListener();
+    /** Open requests, oldest first. */
+    private final Deque<DiscoveryRequest> requests = new ArrayDeque<>();
     private long revision = -1;
-    private boolean fetch;
-    private long retry = FIRST_RETRY_US;
-    private Timers.Timer silence;
-    private Timers.Timer opening;
+    private boolean wholeListNeeded;
+    private long retryDelayUs = MIN_RETRY_DELAY_US;
+    private Timers.Timer silenceTimer;
+    private Timers.Timer retryTimer;
     private boolean stopped;
-    private boolean answered;
-    private long readAt;
+    private boolean responseReceived;
+    private long lastReadAt;
 
-    public Watch(Bootstrap bootstrap, InetSocketAddress address, ReaderRegistry roster, Timers deadlines) {
+    public Watch(Bootstrap bootstrap, InetSocketAddress address, ReaderRegistry readerRegistry, Timers timers) {
         this.bootstrap = bootstrap;
         this.address = address;
-        this.roster = roster;
-        this.deadlines = deadlines;
+        this.readerRegistry = readerRegistry;
+        this.timers = timers;
     }
 
-    /** known: the list as last held; null when there is none. */
-    public void start(ReaderListParser.ReaderList known) {
-        if (known != null) {
-            revision = known.revision();
-            roster.updateReaders(ListKind.CACHED, known.entries());
+    /** Starts to follow discovery. lastKnown: the reader list known from before; null: none. */
+    public void start(ReaderListParser.ReaderList lastKnown) {
+        if (lastKnown != null) {
+            revision = lastKnown.revision();
+            readerRegistry.updateReaders(ListKind.CACHED, lastKnown.entries());
         }
-        fetch = known == null;
-        open();
+        wholeListNeeded = lastKnown == null;
+        openRequest();
     }
 
-    /** Discovery has moved. Revisions of another address may mean nothing: its whole list is fetched first. */
-    public void changeAddress(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            LOG.log(Level.INFO, "discovery: now at {0}", to);
-            address = to;
-            fetch = true;
-            retry = FIRST_RETRY_US;
-            leave();
-            open();
+    /** Discovery has moved. Revisions may differ at the new address, so the whole list is fetched first. */
+    public void changeAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            LOG.log(Level.INFO, "discovery: the address is now {0}", newAddress);
+            address = newAddress;
+            wholeListNeeded = true;
+            retryDelayUs = MIN_RETRY_DELAY_US;
+            closeRequests();
+            openRequest();
         }
     }
 
-    /** Discovery has answered since the start, and given the whole list where it was needed. */
+    /** Whether discovery has answered since the start and has sent the whole list where that was needed. */
     public boolean isCurrent() {
-        return answered && !fetch;
+        return responseReceived && !wholeListNeeded;
     }
 
-    /** Reads what has come in a turn of the event loop that takes long, unless it was read a moment ago. */
+    /** Reads what has arrived during a long event-loop iteration, unless this was done a moment ago. */
     public void readNow() {
-        if (roster.now() - readAt >= READ_AGAIN_US) {
-            readAt = roster.now();
-            List.copyOf(calls).forEach(DiscoveryRequest::readNow);
+        if (readerRegistry.now() - lastReadAt >= MIN_READ_INTERVAL_US) {
+            lastReadAt = readerRegistry.now();
+            List.copyOf(requests).forEach(DiscoveryRequest::readNow);
         }
     }
 
     public void stop() {
         stopped = true;
-        leave();
+        closeRequests();
     }
 
-    private void leave() {
-        deadlines.cancel(silence);
-        deadlines.cancel(opening);
-        calls.forEach(DiscoveryRequest::close);
-        calls.clear();
+    private void closeRequests() {
+        timers.cancel(silenceTimer);
+        timers.cancel(retryTimer);
+        requests.forEach(DiscoveryRequest::close);
+        requests.clear();
     }
 
-    private void open() {
-        if (calls.size() >= MOST_CALLS) {
-            calls.removeFirst().close();
+    private void openRequest() {
+        if (requests.size() >= MAX_REQUESTS) {
+            requests.removeFirst().close();
         }
-        String uri = fetch ? PATH : PATH + "?watch=1&from=" + revision;
-        LOG.log(Level.FINE, "discovery: asks {0} for {1}", new Object[] {address, uri});
-        roster.counters().add("discovery.connections");
-        DiscoveryRequest call = new DiscoveryRequest(address, uri, json, roster.now(), answers);
-        calls.addLast(call);
-        expectWithin(CALL_SILENCE_US);
-        call.open(bootstrap);
+        String uri = wholeListNeeded ? PATH : PATH + "?watch=1&from=" + revision;
+        LOG.log(Level.FINE, "discovery: requests {1} from {0}", new Object[] {address, uri});
+        readerRegistry.counters().add("discovery.connections");
+        DiscoveryRequest request = new DiscoveryRequest(address, uri, json, readerRegistry.now(), requestListener);
+        requests.addLast(request);
+        restartSilenceTimer(REQUEST_SILENCE_US);
+        request.open(bootstrap);
     }
 
-    private void expectWithin(long wait) {
-        deadlines.cancel(silence);
-        silence = deadlines.schedule(roster.now() + wait, () -> {
-            roster.counters().add("discovery.silent");
-            LOG.log(Level.INFO, "discovery: {0} is silent at revision {1}; asked again beside {2} calls",
-                    new Object[] {address, Long.toString(revision), calls.size()});
-            open();
+    private void restartSilenceTimer(long timeoutUs) {
+        timers.cancel(silenceTimer);
+        silenceTimer = timers.schedule(readerRegistry.now() + timeoutUs, () -> {
+            readerRegistry.counters().add("discovery.silent");
+            LOG.log(Level.INFO, "discovery: {0} is silent at revision {1}; sends another request beside {2} open ones",
+                    new Object[] {address, Long.toString(revision), requests.size()});
+            openRequest();
         });
     }
 
-    /** This call says something: the others are not needed. */
-    private void keepOnly(DiscoveryRequest call) {
-        calls.stream().filter(c -> c != call).forEach(DiscoveryRequest::close);
-        calls.removeIf(c -> c != call);
+    /** Closes the other requests, since data has arrived on this one. */
+    private void closeAllExcept(DiscoveryRequest request) {
+        requests.stream().filter(other -> other != request).forEach(DiscoveryRequest::close);
+        requests.removeIf(other -> other != request);
     }
 
-    private void take(ReaderListParser.ReaderList list) {
+    private void applyList(ReaderListParser.ReaderList list) {
         if (list.complete() || list.revision() != revision) {
-            LOG.log(Level.INFO, "discovery: revision {0}, {1}, {2} readers named", new Object[] {
+            LOG.log(Level.INFO, "discovery: list at revision {0}, {1}, {2} readers in it", new Object[] {
                 Long.toString(list.revision()), list.complete() ? "whole" : "changes", list.entries().size()});
         }
         revision = list.revision();
-        retry = FIRST_RETRY_US;
-        fetch &= !list.complete();
-        roster.updateReaders(list.complete() ? ListKind.WHOLE : ListKind.CHANGES, list.entries());
+        retryDelayUs = MIN_RETRY_DELAY_US;
+        wholeListNeeded &= !list.complete();
+        readerRegistry.updateReaders(list.complete() ? ListKind.WHOLE : ListKind.CHANGES, list.entries());
     }
 
     private final class RequestListener implements DiscoveryRequest.Listener {
 
         @Override
-        public void responseStarted(DiscoveryRequest call) {
-            answered = true;
-            keepOnly(call);
-            expectWithin(fetch ? CALL_SILENCE_US : WATCH_SILENCE_US);
+        public void responseStarted(DiscoveryRequest request) {
+            responseReceived = true;
+            closeAllExcept(request);
+            restartSilenceTimer(wholeListNeeded ? REQUEST_SILENCE_US : WATCH_SILENCE_US);
         }
 
         @Override
-        public void listProgressed(DiscoveryRequest call) {
-            if (roster.now() - call.openedAt < LONGEST_LIST_US) {
-                expectWithin(CALL_SILENCE_US);
+        public void listProgressed(DiscoveryRequest request) {
+            if (readerRegistry.now() - request.openedAt < LIST_TIMEOUT_US) {
+                restartSilenceTimer(REQUEST_SILENCE_US);
             }
         }
 
         @Override
-        public void heartbeatReceived(DiscoveryRequest call) {
-            keepOnly(call);
-            expectWithin(WATCH_SILENCE_US);
+        public void heartbeatReceived(DiscoveryRequest request) {
+            closeAllExcept(request);
+            restartSilenceTimer(WATCH_SILENCE_US);
         }
 
         @Override
-        public void listReceived(DiscoveryRequest call, JsonNode list) {
-            keepOnly(call);
-            roster.counters().add("discovery.lists");
+        public void listReceived(DiscoveryRequest request, JsonNode list) {
+            closeAllExcept(request);
+            readerRegistry.counters().add("discovery.lists");
             try {
-                take(ReaderListParser.parse(list, roster.site().cells()));
+                applyList(ReaderListParser.parse(list, readerRegistry.site().cells()));
             } catch (ReaderListParser.MalformedListException e) {
-                listMalformed(call, e.getMessage());
+                listMalformed(request, e.getMessage());
             }
         }
 
-        /** The last list stays. What could not be read is lost, so the whole list is fetched over again. */
+        /**
+         * The last list stays in force. The malformed list may have held changes, so the whole list is fetched again.
+         */
         @Override
-        public void listMalformed(DiscoveryRequest call, String why) {
-            roster.counters().add("discovery.lists.bad");
-            LOG.log(Level.WARNING, "discovery: bad list: {0}", why);
-            fetch = true;
-            call.close();
-            ended(call, "bad list");
+        public void listMalformed(DiscoveryRequest request, String reason) {
+            readerRegistry.counters().add("discovery.lists.bad");
+            LOG.log(Level.WARNING, "discovery: bad list: {0}", reason);
+            wholeListNeeded = true;
+            request.close();
+            requestEnded(request, "malformed list");
         }
 
         @Override
-        public void ended(DiscoveryRequest call, String why) {
-            LOG.log(Level.INFO, "discovery: connection to {0} at revision {1}: {2}", new Object[] {address,
-                Long.toString(revision), why});
-            calls.remove(call);
-            if (calls.isEmpty() && !stopped) {
-                deadlines.cancel(silence);
-                deadlines.cancel(opening);
-                opening = deadlines.schedule(roster.now() + retry, Watch.this::open);
-                retry = Math.min(LONGEST_RETRY_US, retry * 2);
+        public void requestEnded(DiscoveryRequest request, String reason) {
+            LOG.log(Level.INFO, "discovery: request to {0} at revision {1} ended: {2}", new Object[] {address,
+                Long.toString(revision), reason});
+            requests.remove(request);
+            if (requests.isEmpty() && !stopped) {
+                timers.cancel(silenceTimer);
+                timers.cancel(retryTimer);
+                retryTimer = timers.schedule(readerRegistry.now() + retryDelayUs, Watch.this::openRequest);
+                retryDelayUs = Math.min(MAX_RETRY_DELAY_US, retryDelayUs * 2);
             }
         }
     }
--- a/coordinator/src/main/java/burlford/discovery/package-info.java
+++ b/coordinator/src/main/java/burlford/discovery/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The list of readers from the platform's discovery: fetch and watch. May use {@code core} and {@code policy}.
+ * Fetches and follows the reader list of the platform's discovery. May use {@code core}, {@code net} and
+ * {@code policy}.
  */
 package burlford.discovery;
--- a/coordinator/src/main/java/burlford/net/AcceptErrors.java
+++ b/coordinator/src/main/java/burlford/net/AcceptErrors.java
@@ -7,32 +7,32 @@
 import java.util.logging.Logger;
 
 /**
- * Keeps a listener going over failed accepts. Netty's own acceptor pauses a listener for a second after one. Here the
- * next accept follows at once, and only where several fail on end, as without free descriptors, after some
- * milliseconds, so that the event loop does not spin.
+ * Keeps a listener accepting after failed accepts. Netty's own acceptor pauses a listener for a second after a
+ * failure. Here the next accept follows at once; only after several failures in a row, as without free descriptors, it
+ * follows after some milliseconds, so that the event loop does not spin.
  */
 public final class AcceptErrors extends ChannelInboundHandlerAdapter {
 
     private static final Logger LOG = Logger.getLogger(AcceptErrors.class.getName());
-    /** Failures on end that are answered by an accept at once. */
-    private static final int AT_ONCE = 3;
-    private static final long FIRST_DELAY_US = 1_000;
-    private static final long LONGEST_DELAY_US = 16_000;
-    /** Failures on end between two lines in the log. */
-    private static final int LOG_EVERY = 100;
+    /** Number of failures in a row that are each followed by another accept at once. */
+    private static final int IMMEDIATE_RETRIES = 3;
+    private static final long MIN_DELAY_US = 1_000;
+    private static final long MAX_DELAY_US = 16_000;
+    /** Of failures in a row, one in this many is logged. */
+    private static final int FAILURES_PER_LOG_LINE = 100;
 
-    /** Runs something later, on the event loop. */
+    /** Runs an action on the event loop after a delay. */
     public interface Scheduler {
-        void after(long micros, Runnable action);
+        void runAfter(long delayUs, Runnable action);
     }
 
     private final Scheduler scheduler;
     private final Runnable onError;
     private final Runnable onShortage;
-    private int failures;
-    private long delay = FIRST_DELAY_US;
+    private int consecutiveFailures;
+    private long delayUs = MIN_DELAY_US;
 
-    /** onError: called at each failure. onShortage: where several fail on end; may free descriptors. */
+    /** onError: runs at each failure. onShortage: runs after several failures in a row and may free descriptors. */
     public AcceptErrors(Scheduler scheduler, Runnable onError, Runnable onShortage) {
         this.scheduler = scheduler;
         this.onError = onError;
@@ -41,8 +41,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-        failures = 0;
-        delay = FIRST_DELAY_US;
+        consecutiveFailures = 0;
+        delayUs = MIN_DELAY_US;
         ctx.fireChannelRead(accepted);
     }
 
@@ -52,12 +52,12 @@
             ctx.fireExceptionCaught(cause);
             return;
         }
-        if (failures % LOG_EVERY == 0) {
+        if (consecutiveFailures % FAILURES_PER_LOG_LINE == 0) {
             LOG.log(Level.WARNING, "accept failed: {0}", cause.getMessage());
         }
-        failures++;
+        consecutiveFailures++;
         onError.run();
-        if (failures > AT_ONCE) {
+        if (consecutiveFailures > IMMEDIATE_RETRIES) {
             onShortage.run();
             acceptLater(ctx);
         }
@@ -65,7 +65,7 @@
 
     private void acceptLater(ChannelHandlerContext ctx) {
         ctx.channel().config().setAutoRead(false);
-        scheduler.after(delay, () -> ctx.channel().config().setAutoRead(true));
-        delay = Math.min(LONGEST_DELAY_US, delay * 2);
+        scheduler.runAfter(delayUs, () -> ctx.channel().config().setAutoRead(true));
+        delayUs = Math.min(MAX_DELAY_US, delayUs * 2);
     }
 }
--- a/coordinator/src/main/java/burlford/net/BacklogAge.java
+++ b/coordinator/src/main/java/burlford/net/BacklogAge.java
@@ -7,28 +7,28 @@
 import java.util.function.LongSupplier;
 
 /**
- * Notes on each accepted connection since when it, and a request on it, may have waited in the listener's backlog. One
- * that was left there, because an event loop accepts only so many in a turn or an accept failed, counts from the first
- * turn that could have taken it.
+ * Records on each accepted connection since when it, with a request on it, may have waited in the listener's backlog.
+ * For one that was left there, because the number of accepts per event-loop iteration is limited or an accept failed,
+ * that is the first iteration that could have accepted it. Times are those of the given clock.
  */
 public final class BacklogAge extends ChannelInboundHandlerAdapter {
 
-    /** Of an accepted channel: since when it may have waited, on the clock that was given. */
+    /** Attribute of an accepted channel: since when it may have waited. */
     public static final AttributeKey<Long> WAITING_SINCE = AttributeKey.valueOf(BacklogAge.class, "waitingSince");
-    /** Netty accepts no more in a turn. */
-    private static final int MOST_ACCEPTED = 16;
-    private static final long NONE = Long.MAX_VALUE;
+    /** Netty accepts no more than this in one read. */
+    private static final int MAX_ACCEPTS_PER_READ = 16;
+    private static final long EMPTY = Long.MAX_VALUE;
 
     private final LongSupplier earliestArrivalAt;
     private int accepted;
-    /** Since when the backlog may not have been empty; NONE: the last accepts emptied it. */
-    private long filledSince = NONE;
-    /** The same as of the read before; a failed accept is told only behind the end of its read. */
-    private long filledBefore = NONE;
-
-    /** unreadSince: since when what is read now may have waited. */
-    public BacklogAge(LongSupplier unreadSince) {
-        this.earliestArrivalAt = unreadSince;
+    /** Since when the backlog may not have been empty; EMPTY: the last read emptied it. */
+    private long nonEmptySince = EMPTY;
+    /** The same before the last read, since Netty reports a failed accept only after the end of its read. */
+    private long previousNonEmptySince = EMPTY;
+
+    /** earliestArrivalAt: the earliest time at which what is read now may have arrived. */
+    public BacklogAge(LongSupplier earliestArrivalAt) {
+        this.earliestArrivalAt = earliestArrivalAt;
     }
 
     @Override
@@ -39,20 +39,20 @@
     }
 
     private long waitingSince() {
-        return Math.min(filledSince, earliestArrivalAt.getAsLong());
+        return Math.min(nonEmptySince, earliestArrivalAt.getAsLong());
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        filledBefore = filledSince;
-        filledSince = accepted < MOST_ACCEPTED ? NONE : waitingSince();
+        previousNonEmptySince = nonEmptySince;
+        nonEmptySince = accepted < MAX_ACCEPTS_PER_READ ? EMPTY : waitingSince();
         accepted = 0;
         ctx.fireChannelReadComplete();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        filledSince = Math.min(filledBefore, waitingSince());
+        nonEmptySince = Math.min(previousNonEmptySince, waitingSince());
         ctx.fireExceptionCaught(cause);
     }
 }
--- a/coordinator/src/main/java/burlford/net/Connector.java
+++ b/coordinator/src/main/java/burlford/net/Connector.java
@@ -8,18 +8,19 @@
 import java.net.SocketAddress;
 import java.util.function.Consumer;
 
-/** Opens outbound connections and reports how that went on the event loop of the bootstrap, whatever fails. */
+/** Opens outbound connections and reports success or any kind of failure on the bootstrap's event loop. */
 public final class Connector {
 
     private Connector() { }
 
     /**
-     * Opens a connection with these handlers. Calls up or failed, once, on the event loop and after this has returned.
+     * Opens a connection with the given handlers. Either onConnected or onFailed runs once, on the event loop and
+     * after this method has returned.
      *
-     * @return the channel; null where not even a socket could be made, which failed is told
+     * @return the channel; null where no socket could be created, which is reported to onFailed
      */
-    public static Channel connect(Bootstrap bootstrap, SocketAddress address, Runnable up, Consumer<Throwable> failed,
-            ChannelHandler... handlers) {
+    public static Channel connect(Bootstrap bootstrap, SocketAddress address, Runnable onConnected,
+            Consumer<Throwable> onFailed, ChannelHandler... handlers) {
         ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel c) {
@@ -27,15 +28,15 @@
             }
         }).connect(address);
         if (connecting.isDone() && !connecting.isSuccess()) {
-            // Netty would tell this on a thread of its own: the channel never got to the event loop.
-            bootstrap.config().group().next().execute(() -> failed.accept(connecting.cause()));
+            // Netty would report this on a thread of its own, since the channel was not registered with an event loop.
+            bootstrap.config().group().next().execute(() -> onFailed.accept(connecting.cause()));
             return null;
         }
         connecting.addListener(f -> {
             if (f.isSuccess()) {
-                up.run();
+                onConnected.run();
             } else {
-                failed.accept(f.cause());
+                onFailed.accept(f.cause());
             }
         });
         return connecting.channel();
--- a/coordinator/src/main/java/burlford/net/package-info.java
+++ b/coordinator/src/main/java/burlford/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets as every package opens them: outbound connections, and listeners that survive failed system calls. Uses no
- * other package.
+ * Socket handling for the other packages: outbound connections, reading, and listeners that survive failed accepts.
+ * Uses no other package of this program.
  */
 package burlford.net;
--- a/coordinator/src/main/java/burlford/servers/Frame.java
+++ b/coordinator/src/main/java/burlford/servers/Frame.java
@@ -10,10 +10,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** A frame of the readers' wire: a length that covers what follows, least byte first, a letter and the rest. */
+/**
+ * A frame of the readers' wire: a little-endian length of what follows, a message type (one letter) and a payload.
+ * Types sent to readers: D (a part), K (cancel), U (probe), I (ping). Types received: O (answer), U (load report), I
+ * (answer to a ping), Z (the reader could not use a frame).
+ */
 record Frame(char type, byte[] payload) {
 
-    /** Longer than any value a reader may give. */
+    /** Longest frame that is accepted: longer than any value that a reader may give. */
     static final int MAX_BYTES = 1 << 17;
     static final int LENGTH_BYTES = 4;
 
@@ -22,31 +26,31 @@
                 .writeBytes(payload);
     }
 
-    static Frame of(char letter, String rest) {
-        return new Frame(letter, rest.getBytes(StandardCharsets.UTF_8));
+    static Frame of(char type, String payload) {
+        return new Frame(type, payload.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Its rest from an offset on as text; what is not valid text makes the frame a bad one. */
-    String text(int from) {
+    /** The payload from an offset on as text; throws CorruptedFrameException where it is not valid UTF-8. */
+    String text(int offset) {
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(payload, from, payload.length - from))
+            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(payload, offset, payload.length - offset))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new CorruptedFrameException("frame " + type + " is not valid text", e);
+            throw new CorruptedFrameException("the payload of frame " + type + " is not valid UTF-8", e);
         }
     }
 
-    /** Takes what a LengthFieldBasedFrameDecoder cut out. */
+    /** Decodes the frames that a LengthFieldBasedFrameDecoder has split off. */
     static final class Decoder extends MessageToMessageDecoder<ByteBuf> {
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
             if (!in.isReadable()) {
-                throw new CorruptedFrameException("frame without a letter");
+                throw new CorruptedFrameException("frame without a message type");
             }
-            char letter = (char) in.readUnsignedByte();
-            byte[] rest = new byte[in.readableBytes()];
-            in.readBytes(rest);
-            out.add(new Frame(letter, rest));
+            char type = (char) in.readUnsignedByte();
+            byte[] payload = new byte[in.readableBytes()];
+            in.readBytes(payload);
+            out.add(new Frame(type, payload));
         }
     }
 }
--- a/coordinator/src/main/java/burlford/servers/ReaderConnection.java
+++ b/coordinator/src/main/java/burlford/servers/ReaderConnection.java
@@ -30,22 +30,25 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** One connection to a reader: opening, then carrying parts and probes, then closed. */
+/** A connection to a reader, which carries calls and probes. All times are microseconds on the coordinator's clock. */
 final class ReaderConnection extends SimpleChannelInboundHandler<Frame> {
 
     private static final Logger LOG = Logger.getLogger(ReaderConnection.class.getName());
-    private static final double[] NO_LOAD = {};
+    private static final double[] NO_LOAD_REPORT = {};
     private static final long US_PER_MS = 1_000;
-    /** The rest of a frame comes within this, or never. */
-    private static final long REST_OF_FRAME = 250_000;
-    /** So many ids given up are remembered: not all of them are answered. */
-    private static final int MOST_GIVEN_UP = 256;
+    /** A frame that has arrived in part must be complete within this time. */
+    private static final long FRAME_COMPLETION_TIMEOUT_US = 250_000;
+    /** Limit on the ids of cancelled calls that are remembered, since not all of them are answered. */
+    private static final int MAX_CANCELLED_IDS = 256;
 
-    /** A call on this connection, and whether its frame's first byte may, and its last has been written. */
+    /**
+     * A call in flight on this connection. writeStarted: the first byte of its frame may have been written.
+     * fullyWritten: the last byte has been written.
+     */
     private static final class InFlightCall {
         final Call call;
-        boolean begun;
-        boolean written;
+        boolean writeStarted;
+        boolean fullyWritten;
 
         InFlightCall(Call call) {
             this.call = call;
@@ -57,36 +60,39 @@
     private final InetSocketAddress address;
     private final Map<String, InFlightCall> calls = new LinkedHashMap<>();
     private final ArrayDeque<Probe> probes = new ArrayDeque<>();
-    /** Parts given up here, whose answers come late or not at all. */
-    private final Set<String> givenUp = new LinkedHashSet<>();
-    /** What came with the bytes being read, told once all are read: nothing new may go here behind spoilt ones. */
-    private final ArrayDeque<Runnable> arrived = new ArrayDeque<>();
-    private final FrameSplitter frames = new FrameSplitter();
+    /** Ids of calls that were cancelled on this connection, whose answers come late or not at all. */
+    private final Set<String> cancelledIds = new LinkedHashSet<>();
+    /**
+     * Reports of what has been read, made once all bytes that have arrived are read: if malformed ones are among them,
+     * the coordinator must not send anything new on this connection before it is closed.
+     */
+    private final ArrayDeque<Runnable> pendingReports = new ArrayDeque<>();
+    private final FrameSplitter frameSplitter = new FrameSplitter();
     private Channel channel;
-    private boolean up;
+    private boolean connected;
     private boolean closed;
-    private boolean retired;
-    private Timers.Timer connectBy;
-    private Timers.Timer restBy;
-    /** When something last came, or was first waited for. */
-    private long heardAt;
-    private Timers.Timer quiet;
-    /** Questions whether it is alive that wait for their answers, and whether one waits for long. */
-    private int asked;
-    private boolean doubtful;
-    private Timers.Timer idleUntil;
-    private Timers.Timer writeNext;
-
-    /** A probe on this connection: answers come in the order of the questions. */
-    record Probe(long sentAt, Timers.Timer[] by, boolean[] over) { }
-
-    /** Cuts out the frames, and knows whether one has come in part. */
+    private boolean draining;
+    private Timers.Timer connectTimer;
+    private Timers.Timer partialFrameTimer;
+    /** When data last arrived, or when waiting for data began. */
+    private long silentSince;
+    private Timers.Timer silenceTimer;
+    /** Pings that are not answered yet; unresponsive: one has not been answered within the silence timeout. */
+    private int pendingPings;
+    private boolean unresponsive;
+    private Timers.Timer idleTimer;
+    private Timers.Timer writeTimer;
+
+    /** A probe on this connection; probes are answered in the order sent. Each array holds one value that changes. */
+    record Probe(long sentAt, Timers.Timer[] timeout, boolean[] ended) { }
+
+    /** Splits the bytes into frames and knows whether a frame has arrived in part. */
     private static final class FrameSplitter extends LengthFieldBasedFrameDecoder {
         FrameSplitter() {
             super(ByteOrder.LITTLE_ENDIAN, Frame.MAX_BYTES, 0, Frame.LENGTH_BYTES, 0, Frame.LENGTH_BYTES, true);
         }
 
-        boolean begun() {
+        boolean hasPartialFrame() {
             return actualReadableBytes() > 0;
         }
     }
@@ -99,61 +105,64 @@
 
     void open(Bootstrap bootstrap) {
         pool.counters().add("readers.connections.opened");
-        connectBy = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
-            if (!up) {
+        connectTimer = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
+            if (!connected) {
                 pool.counters().add("readers.connections.timed_out");
                 close();
             }
         });
-        channel = Connector.connect(bootstrap, address, this::connected, this::notConnected, frames,
+        channel = Connector.connect(bootstrap, address, this::onConnected, this::onConnectFailed, frameSplitter,
                 new Frame.Decoder(), this);
     }
 
-    private void connected() {
-        pool.timers().cancel(connectBy);
+    private void onConnected() {
+        pool.timers().cancel(connectTimer);
         if (!closed) {
-            up = true;
+            connected = true;
             probes.forEach(p -> write(Frame.of('U', "")));
-            writeWaitingSoon();
-            rest();
+            scheduleWriteUnsentCalls();
+            updateIdleTimer();
         }
     }
 
     /**
-     * At the end of a turn, when all that came in it is read: a client that left or a reader that drains goes first.
+     * Writes the calls that wait. Runs at the end of the event-loop iteration, when all that has arrived is read, so
+     * that a client's disconnect or a reader's draining takes effect first.
      */
-    private void writeWaiting() {
-        for (InFlightCall c : List.copyOf(calls.values())) {
-            if (!closed && isFlushed() && !c.begun && calls.get(c.call.partId) == c) {
-                write(c);
+    private void writeUnsentCalls() {
+        for (InFlightCall inFlight : List.copyOf(calls.values())) {
+            if (!closed && isFlushed() && !inFlight.writeStarted && calls.get(inFlight.call.partId) == inFlight) {
+                write(inFlight);
             }
         }
     }
 
-    private void notConnected(Throwable cause) {
+    private void onConnectFailed(Throwable cause) {
         pool.counters().add("readers.connections.failed");
-        LOG.log(Level.FINE, "reader {0}: no connection: {1}", new Object[] {reader, cause.getMessage()});
-        closed();
+        LOG.log(Level.FINE, "reader {0}: connecting failed: {1}", new Object[] {reader, cause.getMessage()});
+        onClosed();
     }
 
-    /** Takes nothing new and closes once nothing is out: its reader has started anew or is going. */
+    /** Takes nothing new and closes once nothing is in flight, because the reader has restarted or is going away. */
     void drain() {
-        retired = true;
-        rest();
+        draining = true;
+        updateIdleTimer();
     }
 
+    /** Whether the connection takes another call or probe. */
     boolean hasRoom() {
-        return !closed && !retired && restBy == null && !doubtful && calls.size() < pool.maxCallsPerConnection();
+        return !closed && !draining && partialFrameTimer == null && !unresponsive
+                && calls.size() < pool.maxCallsPerConnection();
     }
 
-    /** Answers name their part: two calls of one name, from queries of one id, cannot share a connection. */
+    /** As hasRoom; calls with the same part id cannot share a connection either, since answers are matched by it. */
     boolean hasRoomFor(Call call) {
         return hasRoom() && !calls.containsKey(call.partId);
     }
 
-    /** May carry one more beyond its number, which then waits unread; nothing else may be opened. */
+    /** Whether one call beyond the limit can wait here, unread by the reader, if no other connection may be opened. */
     boolean canQueue(Call call) {
-        return !closed && !retired && restBy == null && !doubtful && !calls.containsKey(call.partId);
+        return !closed && !draining && partialFrameTimer == null && !unresponsive && !calls.containsKey(call.partId);
     }
 
     int inFlightCalls() {
@@ -161,57 +170,59 @@
     }
 
     boolean isIdle() {
-        return calls.isEmpty() && probes.stream().allMatch(p -> p.over[0]);
+        return calls.isEmpty() && probes.stream().allMatch(p -> p.ended[0]);
     }
 
     boolean carries(Call call) {
-        InFlightCall c = calls.get(call.partId);
-        return c != null && c.call == call;
+        InFlightCall inFlight = calls.get(call.partId);
+        return inFlight != null && inFlight.call == call;
     }
 
     void send(Call call) {
-        stir();
-        InFlightCall c = new InFlightCall(call);
+        cancelIdleTimer();
+        InFlightCall inFlight = new InFlightCall(call);
         if (calls.isEmpty()) {
-            heardAt = pool.now();
+            silentSince = pool.now();
         }
-        calls.put(call.partId, c);
-        if (up && isFlushed()) {
-            write(c);
+        calls.put(call.partId, inFlight);
+        if (connected && isFlushed()) {
+            write(inFlight);
         }
     }
 
-    /** All that was written is in the socket. What waits behind unwritten bytes could not be taken back. */
+    /** Whether all that was written is in the socket; a call queued behind unwritten bytes could not be withdrawn. */
     private boolean isFlushed() {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
         return buffer != null && buffer.totalPendingWriteBytes() == 0;
     }
 
-    /** Looks at the call once more when all else is done: what may pass between that look and the write is short. */
-    private void write(InFlightCall c) {
+    /**
+     * Runs the send check after all other preparations, so that little time passes between the check and the write.
+     */
+    private void write(InFlightCall inFlight) {
         long encodedAt = pool.now();
-        ByteBuf frame = encode(c.call, encodedAt);
-        if (!pool.listener().passesSendCheck(c.call)) {
+        ByteBuf frame = encode(inFlight.call, encodedAt);
+        if (!pool.coordinator().passesSendCheck(inFlight.call)) {
             frame.release();
             return;
         }
-        listen();
-        c.begun = true;
+        startSilenceTimer();
+        inFlight.writeStarted = true;
         if (pool.now() - encodedAt >= US_PER_MS) {
             frame.release();
-            frame = encode(c.call, pool.now());
+            frame = encode(inFlight.call, pool.now());
         }
-        write(frame).addListener(f -> c.written = f.isSuccess());
+        write(frame).addListener(f -> inFlight.fullyWritten = f.isSuccess());
     }
 
     private static ByteBuf encode(Call call, long now) {
-        long wait = Math.max(1, (call.deadline - now) / US_PER_MS);
-        byte[] line = (call.partId + " " + call.shard + " d=" + wait + " " + call.text.length + "\n")
+        long timeLeftMs = Math.max(1, (call.waitsUntil - now) / US_PER_MS);
+        byte[] header = (call.partId + " " + call.shard + " d=" + timeLeftMs + " " + call.text.length + "\n")
                 .getBytes(StandardCharsets.UTF_8);
-        byte[] rest = new byte[line.length + call.text.length];
-        System.arraycopy(line, 0, rest, 0, line.length);
-        System.arraycopy(call.text, 0, rest, line.length, call.text.length);
-        return new Frame('D', rest).encode();
+        byte[] payload = new byte[header.length + call.text.length];
+        System.arraycopy(header, 0, payload, 0, header.length);
+        System.arraycopy(call.text, 0, payload, header.length, call.text.length);
+        return new Frame('D', payload).encode();
     }
 
     private void write(Frame frame) {
@@ -221,152 +232,164 @@
     private ChannelFuture write(ByteBuf frame) {
         ChannelFuture written = channel.writeAndFlush(frame);
         if (!written.isDone()) {
-            written.addListener(f -> writeWaitingSoon());
+            written.addListener(f -> scheduleWriteUnsentCalls());
         }
         return written;
     }
 
-    private void writeWaitingSoon() {
+    private void scheduleWriteUnsentCalls() {
         if (!closed) {
-            pool.timers().cancel(writeNext);
-            writeNext = pool.timers().schedule(pool.now(), this::writeWaiting);
+            pool.timers().cancel(writeTimer);
+            writeTimer = pool.timers().schedule(pool.now(), this::writeUnsentCalls);
         }
     }
 
-    /** The reader is told at once, so that no further attempt of the part can overtake the word. */
+    /**
+     * Cancels a call. The reader is notified at once, so that no further attempt of the part can overtake the cancel.
+     */
     void cancel(Call call) {
-        InFlightCall c = calls.remove(call.partId);
-        if (c.begun && !closed && !(c.written && isFlushed())) {
-            closeOverUnfinishedFrame(); // a cancel would wait there too
-        } else if (c.begun && !closed) {
+        InFlightCall inFlight = calls.remove(call.partId);
+        if (inFlight.writeStarted && !closed && !(inFlight.fullyWritten && isFlushed())) {
+            closeWithPartlyWrittenFrame(); // a cancel frame would wait behind it
+        } else if (inFlight.writeStarted && !closed) {
             write(Frame.of('K', call.partId));
-            givenUp.add(call.partId);
-            if (givenUp.size() > MOST_GIVEN_UP) {
-                givenUp.remove(givenUp.iterator().next());
+            cancelledIds.add(call.partId);
+            if (cancelledIds.size() > MAX_CANCELLED_IDS) {
+                cancelledIds.remove(cancelledIds.iterator().next());
             }
         }
-        rest();
+        updateIdleTimer();
     }
 
-    /** Takes a call back whose frame has not been written to its last byte; false where it has. */
+    /** Withdraws a call whose frame is not completely written; false where it is. */
     boolean withdraw(Call call) {
-        InFlightCall c = calls.get(call.partId);
-        if (c.written) {
+        InFlightCall inFlight = calls.get(call.partId);
+        if (inFlight.fullyWritten) {
             return false;
         }
         calls.remove(call.partId);
-        if (c.begun) {
-            closeOverUnfinishedFrame();
+        if (inFlight.writeStarted) {
+            closeWithPartlyWrittenFrame();
         }
-        rest();
+        updateIdleTimer();
         return true;
     }
 
     /**
-     * The socket is full, and the rest of a frame in front of it would go out whenever the reader reads again. The
-     * reader may have the other calls, and is as silent to them.
+     * Closes the connection because its socket is full: the rest of a frame would be sent whenever the reader reads
+     * again. The reader may have received the calls that are fully written, and does not answer those either: they
+     * time out.
      */
-    private void closeOverUnfinishedFrame() {
+    private void closeWithPartlyWrittenFrame() {
         if (closed) {
             return;
         }
         pool.counters().add("readers.connections.full");
-        List<InFlightCall> out = new ArrayList<>(calls.values());
+        List<InFlightCall> callsInFlight = new ArrayList<>(calls.values());
         calls.clear();
         close();
-        out.forEach(c -> pool.listener().callEnded(c.call, c.written ? Outcome.TIMEOUT : Outcome.NO_CONNECTION, null,
-                NO_LOAD));
+        callsInFlight.forEach(c -> pool.coordinator().callEnded(c.call,
+                c.fullyWritten ? Outcome.TIMEOUT : Outcome.NO_CONNECTION, null, NO_LOAD_REPORT));
     }
 
     void probe() {
-        stir();
-        Probe p = new Probe(pool.now(), new Timers.Timer[1], new boolean[1]);
-        p.by[0] = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
-            readWhatHasCome();
-            ended(p, Outcome.TIMEOUT, NO_LOAD);
+        cancelIdleTimer();
+        Probe probe = new Probe(pool.now(), new Timers.Timer[1], new boolean[1]);
+        probe.timeout[0] = pool.timers().schedule(pool.now() + pool.site().connectTimeout(), () -> {
+            readPendingBytes();
+            endProbe(probe, Outcome.TIMEOUT, NO_LOAD_REPORT);
         });
-        probes.add(p);
-        if (up) {
+        probes.add(probe);
+        if (connected) {
             write(Frame.of('U', ""));
         }
     }
 
-    private void ended(Probe p, Outcome outcome, double[] load) {
-        if (!p.over[0]) {
-            p.over[0] = true;
-            pool.timers().cancel(p.by[0]);
-            rest();
-            pool.listener().probeEnded(reader, outcome, p.sentAt, load);
+    private void endProbe(Probe probe, Outcome outcome, double[] loadReport) {
+        if (!probe.ended[0]) {
+            probe.ended[0] = true;
+            pool.timers().cancel(probe.timeout[0]);
+            updateIdleTimer();
+            pool.coordinator().probeEnded(reader, outcome, probe.sentAt, loadReport);
         }
     }
 
     /**
-     * A connection may fall silent while its reader serves all others, and a reader without a word. So where parts
-     * are out and nothing comes for the connect time-out, or an eighth of the longest deadline where that is
-     * more (parts take their time there), it is asked whether it is alive: still silent for as long again it takes
-     * nothing new, and for twice as long its parts have timed out. Readers that stand still now and then do so for
-     * less. Each question is work for the reader: before hundreds of coordinators most parts are alone on their
-     * connection, and at half these times one in ten was followed by one.
+     * Detects a connection that has fallen silent, either alone or because its whole reader hangs without closing its
+     * connections. If calls are in flight and nothing arrives for the silence timeout, the reader is pinged on this
+     * connection. If nothing arrives for another timeout, the connection takes nothing new; after one more, its calls
+     * have timed out.
+     *
+     * <p>The silence timeout is the connect timeout, or an eighth of the longest deadline where that is longer, since
+     * parts take long there. Ordinary pauses of readers are shorter. Each ping is work for the reader: with hundreds
+     * of coordinators most calls are alone on their connection, and with half this timeout one call in ten caused a
+     * ping.
      */
-    private void listen() {
-        if (quiet == null && up && !closed && !calls.isEmpty()) {
-            long patience = Math.max(pool.site().connectTimeout(), pool.site().longestDeadline() / 8);
-            quiet = pool.timers().schedule(Math.max(heardAt + patience, pool.now() + 1), () -> {
-                quiet = null;
-                readWhatHasCome();
-                if (!closed && !calls.isEmpty() && pool.now() - heardAt >= patience) {
-                    asked++;
+    private void startSilenceTimer() {
+        if (silenceTimer == null && connected && !closed && !calls.isEmpty()) {
+            long silenceTimeout = Math.max(pool.site().connectTimeout(), pool.site().longestDeadline() / 8);
+            silenceTimer = pool.timers().schedule(Math.max(silentSince + silenceTimeout, pool.now() + 1), () -> {
+                silenceTimer = null;
+                readPendingBytes();
+                if (!closed && !calls.isEmpty() && pool.now() - silentSince >= silenceTimeout) {
+                    pendingPings++;
                     pool.counters().add("readers.connections.asked");
                     write(Frame.of('I', ""));
-                    quiet = pool.timers().schedule(pool.now() + patience, () -> doubt(patience));
+                    silenceTimer = pool.timers().schedule(pool.now() + silenceTimeout,
+                            () -> onPingOverdue(silenceTimeout));
                 } else {
-                    listen();
+                    startSilenceTimer();
                 }
             });
         }
     }
 
-    private void doubt(long patience) {
-        readWhatHasCome();
+    private void onPingOverdue(long silenceTimeout) {
+        readPendingBytes();
         if (closed) {
             return;
         }
-        doubtful = asked > 0;
-        quiet = pool.timers().schedule(pool.now() + patience, () -> {
-            quiet = null;
-            readWhatHasCome();
-            if (!closed && asked > 0) {
+        unresponsive = pendingPings > 0;
+        silenceTimer = pool.timers().schedule(pool.now() + silenceTimeout, () -> {
+            silenceTimer = null;
+            readPendingBytes();
+            if (!closed && pendingPings > 0) {
                 pool.counters().add("readers.connections.silent");
-                List<InFlightCall> out = new ArrayList<>(calls.values());
+                List<InFlightCall> callsInFlight = new ArrayList<>(calls.values());
                 calls.clear();
                 close();
-                out.forEach(c -> pool.listener().callEnded(c.call, Outcome.TIMEOUT, null, NO_LOAD));
+                callsInFlight.forEach(c -> pool.coordinator().callEnded(c.call, Outcome.TIMEOUT, null, NO_LOAD_REPORT));
             } else {
-                listen();
+                startSilenceTimer();
             }
         });
     }
 
-    /** Before it is judged to be silent: in a turn of the event loop that takes long, answers lie unread. */
-    private void readWhatHasCome() {
-        if (up && !closed) {
+    /**
+     * Reads what has arrived before the connection is judged silent: in a long event-loop iteration it lies unread.
+     */
+    private void readPendingBytes() {
+        if (connected && !closed) {
             ChannelReads.readNow(channel);
         }
     }
 
-    private void stir() {
-        pool.timers().cancel(idleUntil);
-        idleUntil = null;
+    private void cancelIdleTimer() {
+        pool.timers().cancel(idleTimer);
+        idleTimer = null;
     }
 
-    /** Closes before the reader would: what is written to a connection it has closed ends as a reset. */
-    private void rest() {
+    /**
+     * If nothing is in flight, restarts the idle timer, or closes the connection where it drains. The timer closes the
+     * connection before the reader would: a call written to a connection that the reader has closed ends as a reset.
+     */
+    private void updateIdleTimer() {
         if (isIdle() && !closed) {
-            stir();
-            if (retired) {
+            cancelIdleTimer();
+            if (draining) {
                 close();
             } else {
-                idleUntil = pool.timers().schedule(pool.now() + pool.site().connIdle() * 9 / 10, this::close);
+                idleTimer = pool.timers().schedule(pool.now() + pool.site().connIdle() * 9 / 10, this::close);
             }
         }
     }
@@ -375,7 +398,7 @@
         if (channel != null) {
             channel.close();
         }
-        closed();
+        onClosed();
     }
 
     @Override
@@ -383,170 +406,175 @@
         if (closed) {
             return;
         }
-        heardAt = pool.now();
+        silentSince = pool.now();
         switch (frame.type()) {
             case 'I' -> {
-                if (asked == 0) {
-                    throw new CorruptedFrameException("an answer to a question nobody asked");
+                if (pendingPings == 0) {
+                    throw new CorruptedFrameException("an answer to a ping that was not sent");
                 }
-                asked--;
-                doubtful &= asked > 0;
+                pendingPings--;
+                unresponsive &= pendingPings > 0;
             }
-            case 'O' -> answer(frame);
+            case 'O' -> handleAnswer(frame);
             case 'U' -> {
-                Probe p = probes.poll();
-                if (p == null) {
-                    throw new CorruptedFrameException("a load report nobody asked for");
+                Probe probe = probes.poll();
+                if (probe == null) {
+                    throw new CorruptedFrameException("a load report without a probe");
                 }
                 String text = frame.text(0).trim();
                 boolean error = text.equals("500");
-                double[] load = error ? NO_LOAD : LoadReport.parse(text, pool.site().reportColumns());
-                arrived.add(() -> ended(p, error ? Outcome.ERROR : Outcome.OK, load));
+                double[] loadReport = error ? NO_LOAD_REPORT : LoadReport.parse(text, pool.site().reportColumns());
+                pendingReports.add(() -> endProbe(probe, error ? Outcome.ERROR : Outcome.OK, loadReport));
             }
             case 'Z' -> throw new CorruptedFrameException("the reader could not use a frame: " + frame.text(0));
-            default -> throw new CorruptedFrameException("unknown letter " + (int) frame.type());
+            default -> throw new CorruptedFrameException("unknown message type " + (int) frame.type());
         }
     }
 
-    private void answer(Frame frame) {
-        int end = 0;
-        while (end < frame.payload().length && frame.payload()[end] != '\n') {
-            end++;
+    private void handleAnswer(Frame frame) {
+        int lineEnd = 0;
+        while (lineEnd < frame.payload().length && frame.payload()[lineEnd] != '\n') {
+            lineEnd++;
         }
-        String[] words = new String(frame.payload(), 0, end, StandardCharsets.UTF_8).split(" ");
-        if (end == frame.payload().length || words.length != 4) {
-            throw new CorruptedFrameException("an answer without its line of four words");
+        String[] fields = new String(frame.payload(), 0, lineEnd, StandardCharsets.UTF_8).split(" ");
+        if (lineEnd == frame.payload().length || fields.length != 4) {
+            throw new CorruptedFrameException("an answer without a header line of four fields");
         }
-        InFlightCall c = calls.get(words[0]);
-        if (c == null) {
-            if (!givenUp.remove(words[0])) {
-                throw new CorruptedFrameException("an answer to a part that is not out here");
+        InFlightCall inFlight = calls.get(fields[0]);
+        if (inFlight == null) {
+            if (!cancelledIds.remove(fields[0])) {
+                throw new CorruptedFrameException("an answer to a part that is not in flight on this connection");
             }
             pool.counters().add("readers.answers.late");
             return;
         }
-        Outcome outcome = switch (words[1]) {
+        Outcome outcome = switch (fields[1]) {
             case "200" -> Outcome.OK;
             case "500" -> Outcome.ERROR;
             case "503" -> Outcome.FULL;
-            default -> throw new MalformedAnswerException(c, "an answer ends in " + words[1]);
+            default -> throw new MalformedAnswerException(inFlight, "an answer with the unknown status " + fields[1]);
         };
         String value;
         try {
-            value = outcome == Outcome.OK ? frame.text(end + 1) : null;
+            value = outcome == Outcome.OK ? frame.text(lineEnd + 1) : null;
         } catch (CorruptedFrameException e) {
-            throw new MalformedAnswerException(c, e.getMessage());
+            throw new MalformedAnswerException(inFlight, e.getMessage());
         }
-        calls.remove(words[0]);
-        double[] load = LoadReport.parse(words[3], pool.site().reportColumns());
-        arrived.add(() -> pool.listener().callEnded(c.call, outcome, value, load));
+        calls.remove(fields[0]);
+        double[] loadReport = LoadReport.parse(fields[3], pool.site().reportColumns());
+        pendingReports.add(() -> pool.coordinator().callEnded(inFlight.call, outcome, value, loadReport));
     }
 
-    /** An answer of which it is known what part it is to. */
+    /** A malformed answer whose part is known. */
     private static final class MalformedAnswerException extends CorruptedFrameException {
         private static final long serialVersionUID = 1L;
-        private final transient InFlightCall of;
+        private final transient InFlightCall inFlightCall;
 
-        MalformedAnswerException(InFlightCall of, String message) {
+        MalformedAnswerException(InFlightCall inFlightCall, String message) {
             super(message);
-            this.of = of;
+            this.inFlightCall = inFlightCall;
         }
     }
 
     /**
-     * All that has come is read. Part of a frame with nothing out is noise behind a good answer; with something
-     * out, it may be an answer that never ends: the connection takes nothing new until the rest has come.
+     * All that has arrived is read. A partial frame with nothing in flight consists of stray bytes behind a valid
+     * answer. With something in flight it may be an answer that never ends, so the connection takes nothing new until
+     * the rest of the frame has arrived.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!closed && frames.begun()) {
+        if (!closed && frameSplitter.hasPartialFrame()) {
             if (isIdle()) {
-                spoilt(null, "more bytes than the answer's");
-            } else if (restBy == null) {
-                restBy = pool.timers().schedule(pool.now() + REST_OF_FRAME,
-                        () -> spoilt(null, "a frame that does not end"));
+                failMalformed(null, "stray bytes behind the last answer");
+            } else if (partialFrameTimer == null) {
+                partialFrameTimer = pool.timers().schedule(pool.now() + FRAME_COMPLETION_TIMEOUT_US,
+                        () -> failMalformed(null, "a frame that does not end"));
             }
-        } else if (restBy != null) {
-            pool.timers().cancel(restBy);
-            restBy = null;
+        } else if (partialFrameTimer != null) {
+            pool.timers().cancel(partialFrameTimer);
+            partialFrameTimer = null;
         }
-        tell();
-        rest();
+        runPendingReports();
+        updateIdleTimer();
     }
 
-    private void tell() {
-        for (Runnable next = arrived.poll(); next != null; next = arrived.poll()) {
+    private void runPendingReports() {
+        for (Runnable next = pendingReports.poll(); next != null; next = pendingReports.poll()) {
             next.run();
         }
     }
 
     /**
-     * Nothing that comes on this connection can be trusted any more. The answer to the part named, else to the
-     * one out longest, has failed and may have run; the others out here are given up and may be sent elsewhere.
-     * They were not reset: that would cast suspicion on their queries.
+     * Closes the connection, since nothing that arrives on it can be trusted any more. The answered call, or where it
+     * is unknown the one longest in flight, has failed and may have run; the other calls end as cancelled and may be
+     * sent elsewhere. They do not end as dropped, since that would make their queries suspect.
      */
-    private void spoilt(InFlightCall named, String why) {
+    private void failMalformed(InFlightCall answered, String reason) {
         if (closed) {
             return;
         }
         pool.counters().add("readers.frames.bad");
         if (!calls.isEmpty()) {
-            LOG.log(Level.WARNING, "reader {0}: {1}", new Object[] {reader, why});
+            LOG.log(Level.WARNING, "reader {0}: {1}", new Object[] {reader, reason});
         }
-        List<InFlightCall> out = new ArrayList<>(calls.values());
+        List<InFlightCall> callsInFlight = new ArrayList<>(calls.values());
         calls.clear();
         close();
-        InFlightCall failed = named == null && !out.isEmpty() ? out.get(0) : named;
-        out.forEach(c -> pool.listener().callEnded(c.call, !c.written ? Outcome.NO_CONNECTION
-                : c == failed ? Outcome.ERROR : Outcome.CANCELLED, null, NO_LOAD));
+        InFlightCall failed = answered == null && !callsInFlight.isEmpty() ? callsInFlight.get(0) : answered;
+        callsInFlight.forEach(c -> pool.coordinator().callEnded(c.call, !c.fullyWritten ? Outcome.NO_CONNECTION
+                : c == failed ? Outcome.ERROR : Outcome.CANCELLED, null, NO_LOAD_REPORT));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closed();
+        onClosed();
     }
 
-    /** A bad frame ends the connection: where the next one starts is not known. */
+    /** A malformed frame ends the connection, since it is not known where the next frame starts. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Throwable why = cause.getCause() instanceof CorruptedFrameException ? cause.getCause() : cause;
-        if (why instanceof DecoderException) {
-            spoilt(why instanceof MalformedAnswerException s ? s.of : null, why.getMessage());
+        Throwable unwrapped = cause.getCause() instanceof CorruptedFrameException ? cause.getCause() : cause;
+        if (unwrapped instanceof DecoderException) {
+            failMalformed(unwrapped instanceof MalformedAnswerException malformed ? malformed.inFlightCall : null,
+                    unwrapped.getMessage());
             return;
         }
-        if (why instanceof IOException) {
+        if (unwrapped instanceof IOException) {
             pool.counters().add("readers.connections.broken");
         } else {
-            LOG.log(Level.SEVERE, "reader " + reader, why);
+            LOG.log(Level.SEVERE, "unexpected error on a connection to reader " + reader, unwrapped);
         }
         close();
     }
 
-    /** All that was out on it has ended: unsent if its frame's last byte was never written, else reset. */
-    private void closed() {
+    /**
+     * Ends all that was in flight here: as not sent where the last byte of its frame was not written, else as dropped.
+     */
+    private void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        stir();
-        pool.timers().cancel(connectBy);
-        pool.timers().cancel(restBy);
-        pool.timers().cancel(quiet);
-        pool.timers().cancel(writeNext);
-        pool.forget(reader, this);
-        tell();
-        List<InFlightCall> lost = new ArrayList<>(calls.values());
-        List<Probe> unanswered = new ArrayList<>(probes);
+        cancelIdleTimer();
+        pool.timers().cancel(connectTimer);
+        pool.timers().cancel(partialFrameTimer);
+        pool.timers().cancel(silenceTimer);
+        pool.timers().cancel(writeTimer);
+        pool.removeConnection(reader, this);
+        runPendingReports();
+        List<InFlightCall> lostCalls = new ArrayList<>(calls.values());
+        List<Probe> unansweredProbes = new ArrayList<>(probes);
         calls.clear();
         probes.clear();
-        if (lost.stream().anyMatch(c -> c.written)) {
+        if (lostCalls.stream().anyMatch(c -> c.fullyWritten)) {
             pool.connectionBroken();
         }
-        for (InFlightCall c : lost) {
-            pool.listener().callEnded(c.call, c.written ? Outcome.DROPPED : Outcome.NO_CONNECTION, null, NO_LOAD);
+        for (InFlightCall c : lostCalls) {
+            pool.coordinator().callEnded(c.call, c.fullyWritten ? Outcome.DROPPED : Outcome.NO_CONNECTION, null,
+                    NO_LOAD_REPORT);
         }
-        for (Probe p : unanswered) {
-            ended(p, up ? Outcome.DROPPED : Outcome.NO_CONNECTION, NO_LOAD);
+        for (Probe p : unansweredProbes) {
+            endProbe(p, connected ? Outcome.DROPPED : Outcome.NO_CONNECTION, NO_LOAD_REPORT);
         }
     }
 }
--- a/coordinator/src/main/java/burlford/servers/ReaderPool.java
+++ b/coordinator/src/main/java/burlford/servers/ReaderPool.java
@@ -19,48 +19,52 @@
 import java.util.function.Predicate;
 
 /**
- * The connections to all readers: each call goes on one with room, or on a new one. A connection that breaks
- * takes all that is out on it along; so for a while after one did, each call gets a connection to itself.
+ * The connections to all readers. A call is sent on a connection with room, or on a new one. A connection that breaks
+ * ends all calls in flight on it, so for some time after one did, each call gets a connection of its own.
  */
 public final class ReaderPool implements ReaderTransport {
 
-    private static final long CAREFUL = 10_000_000;
+    /** For this long after a connection broke, each call gets a connection of its own. */
+    private static final long ISOLATION_PERIOD_US = 10_000_000;
 
     private final Bootstrap bootstrap;
     private final Coordinator coordinator;
     private final Timers timers;
     private final Map<String, ReaderEntry> entries = new HashMap<>();
     private final Map<String, List<ReaderConnection>> connections = new HashMap<>();
-    private final IntSupplier most;
-    private final ReaderConnectionLimits census;
-    private long carefulUntil = Long.MIN_VALUE;
-
-    /** census: the connections of the whole process. most: connections up to which calls may get one each. */
-    public ReaderPool(Bootstrap bootstrap, Coordinator coordinator, Timers deadlines, ReaderConnectionLimits census,
-            IntSupplier most) {
-        this.census = census;
-        this.most = most;
+    private final IntSupplier isolationLimit;
+    private final ReaderConnectionLimits connectionLimits;
+    private long isolateUntil = Long.MIN_VALUE;
+
+    /**
+     * @param connectionLimits counts and limits of the whole process's connections to readers
+     * @param isolationLimit number of connections of the process up to which calls may get a connection of their own
+     */
+    public ReaderPool(Bootstrap bootstrap, Coordinator coordinator, Timers timers,
+            ReaderConnectionLimits connectionLimits, IntSupplier isolationLimit) {
+        this.connectionLimits = connectionLimits;
+        this.isolationLimit = isolationLimit;
         this.bootstrap = bootstrap;
         this.coordinator = coordinator;
-        this.timers = deadlines;
+        this.timers = timers;
     }
 
     @Override
     public void send(Call call) {
-        ReaderConnection on = connection(call.send.reader(), c -> c.hasRoomFor(call), c -> c.canQueue(call));
-        if (on == null) {
+        ReaderConnection connection = findOrCreate(call.send.reader(), c -> c.hasRoomFor(call), c -> c.canQueue(call));
+        if (connection == null) {
             coordinator.callEnded(call, Outcome.NO_CONNECTION, null, new double[0]);
             return;
         }
-        on.send(call);
-        opened(call.send.reader(), on);
+        connection.send(call);
+        openIfNew(call.send.reader(), connection);
     }
 
     @Override
     public void cancel(Call call) {
-        for (ReaderConnection c : List.copyOf(connections.getOrDefault(call.send.reader(), List.of()))) {
-            if (c.carries(call)) {
-                c.cancel(call);
+        for (ReaderConnection connection : List.copyOf(connections.getOrDefault(call.send.reader(), List.of()))) {
+            if (connection.carries(call)) {
+                connection.cancel(call);
                 return;
             }
         }
@@ -68,9 +72,9 @@
 
     @Override
     public boolean withdraw(Call call) {
-        for (ReaderConnection c : List.copyOf(connections.getOrDefault(call.send.reader(), List.of()))) {
-            if (c.carries(call)) {
-                return c.withdraw(call);
+        for (ReaderConnection connection : List.copyOf(connections.getOrDefault(call.send.reader(), List.of()))) {
+            if (connection.carries(call)) {
+                return connection.withdraw(call);
             }
         }
         return false;
@@ -78,99 +82,104 @@
 
     @Override
     public void probe(String reader) {
-        ReaderConnection on = connection(reader, ReaderConnection::hasRoom, c -> true);
-        if (on == null) {
+        ReaderConnection connection = findOrCreate(reader, ReaderConnection::hasRoom, c -> true);
+        if (connection == null) {
             coordinator.probeEnded(reader, Outcome.NO_CONNECTION, now(), new double[0]);
             return;
         }
-        on.probe();
-        opened(reader, on);
+        connection.probe();
+        openIfNew(reader, connection);
     }
 
     @Override
     public void closeIdle(String reader) {
-        for (ReaderConnection c : List.copyOf(connections.getOrDefault(reader, List.of()))) {
-            if (c.isIdle()) {
-                c.close();
+        for (ReaderConnection connection : List.copyOf(connections.getOrDefault(reader, List.of()))) {
+            if (connection.isIdle()) {
+                connection.close();
             }
         }
     }
 
     @Override
     public void updateReader(ReaderEntry entry) {
-        ReaderEntry was = entries.put(entry.id(), entry);
-        if (was != null && (!was.host().equals(entry.host()) || was.port() != entry.port()
-                || was.startedAt() != entry.startedAt())) {
-            retire(entry.id());
+        ReaderEntry previous = entries.put(entry.id(), entry);
+        if (previous != null && (!previous.host().equals(entry.host()) || previous.port() != entry.port()
+                || previous.startedAt() != entry.startedAt())) {
+            drainConnections(entry.id());
         }
     }
 
     @Override
     public void removeReader(String reader) {
-        retire(reader);
+        drainConnections(reader);
         entries.remove(reader);
     }
 
-    /** Connections to a process that is no more may stay silent: nothing new may go on them. */
-    private void retire(String reader) {
+    /**
+     * Drains the connections to a reader process that is gone: they may stay silent, so nothing new is sent on them.
+     */
+    private void drainConnections(String reader) {
         List.copyOf(connections.getOrDefault(reader, List.of())).forEach(ReaderConnection::drain);
     }
 
     /**
-     * One with room, or a new one that {@link #opened} starts once it has its first load; where the process may open
-     * no more, the least loaded that can queue. null: the reader is not listed.
+     * Finds a connection with room, or creates one, which {@link #openIfNew} opens once it has its first call or
+     * probe. Where the process may open no more, the one with the fewest calls that can queue another.
+     *
+     * @return null where the reader is not in the reader list
      */
-    private ReaderConnection connection(String reader, Predicate<ReaderConnection> usable,
-            Predicate<ReaderConnection> able) {
-        List<ReaderConnection> held = connections.getOrDefault(reader, List.of());
-        for (ReaderConnection c : held) {
-            if (usable.test(c)) {
-                return c;
+    private ReaderConnection findOrCreate(String reader, Predicate<ReaderConnection> hasRoom,
+            Predicate<ReaderConnection> canQueue) {
+        List<ReaderConnection> existing = connections.getOrDefault(reader, List.of());
+        for (ReaderConnection connection : existing) {
+            if (hasRoom.test(connection)) {
+                return connection;
             }
         }
         ReaderEntry entry = entries.get(reader);
-        if (entry != null && !census.mayOpen(reader, held.size())) {
-            ReaderConnection least = held.stream().filter(able)
+        if (entry != null && !connectionLimits.mayOpen(reader, existing.size())) {
+            ReaderConnection leastLoaded = existing.stream().filter(canQueue)
                     .min(Comparator.comparingInt(ReaderConnection::inFlightCalls)).orElse(null);
-            if (least != null) {
-                return least;
+            if (leastLoaded != null) {
+                return leastLoaded;
             }
         }
         return entry == null ? null : new ReaderConnection(this, entry);
     }
 
-    private void opened(String reader, ReaderConnection c) {
-        List<ReaderConnection> held = connections.computeIfAbsent(reader, r -> new ArrayList<>());
-        if (!held.contains(c)) {
-            held.add(c);
-            census.opened(reader);
-            c.open(bootstrap);
+    private void openIfNew(String reader, ReaderConnection connection) {
+        List<ReaderConnection> existing = connections.computeIfAbsent(reader, r -> new ArrayList<>());
+        if (!existing.contains(connection)) {
+            existing.add(connection);
+            connectionLimits.opened(reader);
+            connection.open(bootstrap);
         }
     }
 
-    void forget(String reader, ReaderConnection c) {
-        List<ReaderConnection> held = connections.get(reader);
-        if (held != null && held.remove(c)) {
-            census.closed(reader);
-            if (held.isEmpty()) {
+    void removeConnection(String reader, ReaderConnection connection) {
+        List<ReaderConnection> existing = connections.get(reader);
+        if (existing != null && existing.remove(connection)) {
+            connectionLimits.closed(reader);
+            if (existing.isEmpty()) {
                 connections.remove(reader);
             }
         }
     }
 
-    /** All connections end, with what is out on them: this pool is given up. */
+    /** Closes all connections, which ends the calls and probes in flight on them; the pool is not used any more. */
     public void close() {
-        List.copyOf(connections.values()).forEach(held -> List.copyOf(held).forEach(ReaderConnection::close));
+        List.copyOf(connections.values()).forEach(existing -> List.copyOf(existing).forEach(ReaderConnection::close));
     }
 
-    /** A connection broke with calls out on it. */
+    /** A connection broke with calls in flight on it. */
     void connectionBroken() {
-        carefulUntil = now() + CAREFUL;
+        isolateUntil = now() + ISOLATION_PERIOD_US;
     }
 
     /** How many calls a connection takes at present. */
     int maxCallsPerConnection() {
-        return now() < carefulUntil && census.openCount() < most.getAsInt() ? 1 : site().multiplex();
+        return now() < isolateUntil && connectionLimits.openCount() < isolationLimit.getAsInt() ? 1
+                : site().multiplex();
     }
 
     Site site() {
@@ -185,7 +194,7 @@
         return coordinator.counters();
     }
 
-    Coordinator listener() {
+    Coordinator coordinator() {
         return coordinator;
     }
 
--- a/coordinator/src/main/java/burlford/servers/package-info.java
+++ b/coordinator/src/main/java/burlford/servers/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The readers' wire: frames, connections, probes. May use {@code core} and {@code policy}.
+ * The readers' wire: frames, connections, probes. May use {@code core}, {@code net} and {@code policy}.
  */
 package burlford.servers;
--- a/coordinator/src/test/java/burlford/core/EventLogTest.java
+++ b/coordinator/src/test/java/burlford/core/EventLogTest.java
@@ -16,7 +16,7 @@
 
     /** Guards against a log that floods under overload, and against one that hides that lines are missing. */
     @Test
-    void eventsPastTheShareOfASecondAreCounted() {
+    void eventsOverTheLimitAreCountedInsteadOfLogged() {
         Logger logger = Logger.getLogger(EventLogTest.class.getName());
         logger.setUseParentHandlers(false);
         logger.addHandler(new Handler() {
--- a/coordinator/src/test/java/burlford/discovery/FakeDiscovery.java
+++ b/coordinator/src/test/java/burlford/discovery/FakeDiscovery.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A listener that takes connections, keeps them open and says only what a test has it say. */
+/** Discovery server of the tests: accepts connections, keeps them open and sends only what the test tells it to. */
 final class FakeDiscovery implements AutoCloseable {
 
-    static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
@@ -24,7 +24,7 @@
                     connections.add(listener.accept());
                 }
             } catch (IOException e) {
-                // the test is over
+                // the listener was closed at the end of the test
             }
         });
         acceptor.setDaemon(true);
@@ -39,7 +39,7 @@
         return connections.size();
     }
 
-    /** Sends on the connection that came as the n-th, from 0. */
+    /** Sends text on the n-th accepted connection, counted from 0. */
     void send(int connection, String text) throws IOException {
         connections.get(connection).getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/coordinator/src/test/java/burlford/discovery/WatchTest.java
+++ b/coordinator/src/test/java/burlford/discovery/WatchTest.java
@@ -1,6 +1,6 @@
 package burlford.discovery;
 
-import static burlford.discovery.FakeDiscovery.HEAD;
+import static burlford.discovery.FakeDiscovery.RESPONSE_HEAD;
 import static burlford.discovery.FakeDiscovery.chunk;
 import static burlford.discovery.FakeDiscovery.list;
 import static burlford.discovery.FakeDiscovery.member;
@@ -28,30 +28,30 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The watch against a stand-in on the loopback, on a clock that only the test moves. */
+/** {@link Watch} against a fake discovery server on the loopback, with a clock that only the test advances. */
 class WatchTest {
 
-    private static final long SECOND = 1_000_000;
-    /** What a watch that fell silent misses counts as notified after this. */
-    private static final long NOTIFIED_AFTER_SILENCE = 6 * SECOND;
-    /** For the drain's grace and the connection that is still to come up. */
-    private static final long STEP = 20_000;
-    private static final long REAL_PATIENCE_NS = 20_000_000_000L;
+    private static final long SECOND_US = 1_000_000;
+    /** Changes that a silent watch misses count as notified after this time. */
+    private static final long NOTIFIED_AFTER_US = 6 * SECOND_US;
+    /** Step of the clock, small beside the grace period of a drain and the time for opening a connection. */
+    private static final long STEP_US = 20_000;
+    private static final long TEST_TIMEOUT_NS = 20_000_000_000L;
 
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Timers deadlines = new Timers();
+    private final Timers timers = new Timers();
     private final Counters counters = new Counters();
-    private final List<String> told = new ArrayList<>();
-    private long now = 100 * SECOND;
-    /** Sockets that cannot be made before one can. */
-    private final AtomicInteger failures = new AtomicInteger();
+    private final List<String> updates = new ArrayList<>();
+    private long now = 100 * SECOND_US;
+    /** Number of socket creations that still fail. */
+    private final AtomicInteger socketFailures = new AtomicInteger();
     private FakeDiscovery discovery;
     private Watch watch;
 
-    private final ReaderRegistry roster = new ReaderRegistry() {
+    private final ReaderRegistry readerRegistry = new ReaderRegistry() {
         @Override
         public void updateReaders(ListKind kind, List<ReaderEntry> entries) {
-            entries.forEach(e -> told.add(e.id() + " " + e.status()));
+            entries.forEach(e -> updates.add(e.id() + " " + e.status()));
         }
 
         @Override
@@ -82,15 +82,15 @@
     void start() throws IOException {
         discovery = new FakeDiscovery();
         Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(() -> {
-            if (failures.getAndDecrement() > 0) {
+            if (socketFailures.getAndDecrement() > 0) {
                 throw new ChannelException(new SocketException("Too many open files"));
             }
             return new NioSocketChannel();
         });
-        watch = new Watch(bootstrap, discovery.address(), roster, deadlines);
+        watch = new Watch(bootstrap, discovery.address(), readerRegistry, timers);
         watch.start(new ReaderListParser.ReaderList(41, true, List.of(
                 new ReaderEntry("s1", "127.0.0.1", 9, "", 0, Status.READY, 1, 0))));
-        until(() -> discovery.connections() == 1);
+        runLoopUntil(() -> discovery.connections() == 1);
     }
 
     @AfterEach
@@ -99,9 +99,9 @@
         discovery.close();
     }
 
-    /** Turns the loop, the clock standing still, until something has come over the network. */
-    private void until(BooleanSupplier done) {
-        long limit = System.nanoTime() + REAL_PATIENCE_NS;
+    /** Runs the event loop, without advancing the clock, until the condition holds. */
+    private void runLoopUntil(BooleanSupplier done) {
+        long limit = System.nanoTime() + TEST_TIMEOUT_NS;
         while (!done.getAsBoolean()) {
             assertThat(System.nanoTime()).as("nothing came").isLessThan(limit);
             loop.runNow();
@@ -109,95 +109,103 @@
         }
     }
 
-    /** Moves the clock until another call is open, and gives how long that took. */
-    private long timeToNextCall() {
-        long from = now;
-        int before = discovery.connections();
-        long asked = counters.get("discovery.connections");
-        while (counters.get("discovery.connections") == asked) {
-            assertThat(now - from).as("no further call").isLessThan(60 * SECOND);
-            now += STEP;
-            deadlines.runDue(now);
+    /** Advances the clock until another request is open, and returns how long that took in microseconds. */
+    private long timeToNextRequest() {
+        long startedAt = now;
+        int connectionsBefore = discovery.connections();
+        long requestsBefore = counters.get("discovery.connections");
+        while (counters.get("discovery.connections") == requestsBefore) {
+            assertThat(now - startedAt).as("no further request").isLessThan(60 * SECOND_US);
+            now += STEP_US;
+            timers.runDue(now);
             loop.runNow();
         }
-        until(() -> discovery.connections() > before);
-        return now - from;
+        runLoopUntil(() -> discovery.connections() > connectionsBefore);
+        return now - startedAt;
     }
 
-    /** Guards against a watch that fell silent unnoticed: 7 s passed, and readers that drained meanwhile got parts. */
+    /**
+     * Guards against a silent watch that was noticed only after 7 s: readers that drained meanwhile were sent parts.
+     */
     @Test
-    void silentWatchIsAskedAnewBeforeWhatItMissedCountsAsNotified() throws IOException {
-        discovery.send(0, HEAD + chunk("\n"));
-        until(watch::isCurrent);
-        assertThat(timeToNextCall()).isLessThan(NOTIFIED_AFTER_SILENCE);
-        discovery.send(1, HEAD + chunk(list(42, false, member("s1", "Terminating"))));
-        until(() -> told.contains("s1 DRAINING"));
+    void silentWatchIsReplacedBeforeMissedChangesCountAsNotified() throws IOException {
+        discovery.send(0, RESPONSE_HEAD + chunk("\n"));
+        runLoopUntil(watch::isCurrent);
+        assertThat(timeToNextRequest()).isLessThan(NOTIFIED_AFTER_US);
+        discovery.send(1, RESPONSE_HEAD + chunk(list(42, false, member("s1", "Terminating"))));
+        runLoopUntil(() -> updates.contains("s1 DRAINING"));
     }
 
-    /** Guards against one call that hangs holding up all others: behind a silent watch 14 s passed. */
+    /**
+     * Guards against a hanging request that delayed all later ones: after a silent watch, 14 s passed until the next.
+     */
     @Test
-    void callThatHangsIsNotWaitedFor() throws IOException {
-        discovery.send(0, HEAD + chunk("\n"));
-        until(watch::isCurrent);
-        long silent = timeToNextCall();
-        long hung = timeToNextCall();
-        assertThat(silent + hung).isLessThan(NOTIFIED_AFTER_SILENCE);
-        discovery.send(2, HEAD + chunk(list(42, false, member("s1", "Terminating"))));
-        until(() -> told.contains("s1 DRAINING"));
+    void hangingRequestDoesNotDelayTheNextOne() throws IOException {
+        discovery.send(0, RESPONSE_HEAD + chunk("\n"));
+        runLoopUntil(watch::isCurrent);
+        long silent = timeToNextRequest();
+        long hung = timeToNextRequest();
+        assertThat(silent + hung).isLessThan(NOTIFIED_AFTER_US);
+        discovery.send(2, RESPONSE_HEAD + chunk(list(42, false, member("s1", "Terminating"))));
+        runLoopUntil(() -> updates.contains("s1 DRAINING"));
     }
 
-    /** Guards against never hearing a discovery that takes seconds to answer: each call was given up for the next. */
+    /**
+     * Guards against never using a discovery that takes seconds to answer: each request was closed for the next one.
+     */
     @Test
-    void slowAnswerIsTakenThoughOthersWereAsked() throws IOException {
+    void slowResponseIsUsedThoughLaterRequestsWereSent() throws IOException {
         long waited = 0;
-        while (waited < 3 * SECOND) {
-            waited += timeToNextCall();
+        while (waited < 3 * SECOND_US) {
+            waited += timeToNextRequest();
         }
-        discovery.send(0, HEAD + chunk(list(42, false, member("s1", "Terminating"))));
-        until(() -> told.contains("s1 DRAINING"));
+        discovery.send(0, RESPONSE_HEAD + chunk(list(42, false, member("s1", "Terminating"))));
+        runLoopUntil(() -> updates.contains("s1 DRAINING"));
     }
 
-    /** Guards against the watch's end for good where a socket could not be made once. */
+    /** Guards against a watch that stopped for good after one socket could not be created. */
     @Test
-    void failedSocketIsTriedAgain() throws IOException {
-        failures.set(3);
-        discovery.send(0, HEAD + chunk("oops"));
-        until(() -> counters.get("discovery.lists.bad") == 1);
-        for (long end = now + SECOND; now < end; now += STEP) {
-            deadlines.runDue(now);
+    void requestIsRetriedAfterFailedSocketCreation() throws IOException {
+        socketFailures.set(3);
+        discovery.send(0, RESPONSE_HEAD + chunk("oops"));
+        runLoopUntil(() -> counters.get("discovery.lists.bad") == 1);
+        for (long end = now + SECOND_US; now < end; now += STEP_US) {
+            timers.runDue(now);
             loop.runNow();
         }
-        until(() -> discovery.connections() == 2);
-        discovery.send(1, HEAD + chunk(list(42, true, member("s1", "Terminating"))));
-        until(() -> told.contains("s1 DRAINING"));
+        runLoopUntil(() -> discovery.connections() == 2);
+        discovery.send(1, RESPONSE_HEAD + chunk(list(42, true, member("s1", "Terminating"))));
+        runLoopUntil(() -> updates.contains("s1 DRAINING"));
     }
 
-    /** A watch that goes on saying that nothing changed is not opened anew. */
+    /** A watch that receives heartbeats or lists is not opened again. */
     @Test
-    void watchWithHeartbeatsStays() throws IOException {
-        discovery.send(0, HEAD);
-        until(watch::isCurrent);
+    void watchWithHeartbeatsStaysOpen() throws IOException {
+        discovery.send(0, RESPONSE_HEAD);
+        runLoopUntil(watch::isCurrent);
         for (int i = 0; i < 10; i++) {
-            int heard = told.size();
+            int updatesBefore = updates.size();
             discovery.send(0, chunk("\n") + chunk(list(42 + i, false, member("s1", "Ready"))));
-            until(() -> told.size() > heard);
-            for (long end = now + 2 * SECOND; now < end; now += STEP) {
-                deadlines.runDue(now);
+            runLoopUntil(() -> updates.size() > updatesBefore);
+            for (long end = now + 2 * SECOND_US; now < end; now += STEP_US) {
+                timers.runDue(now);
             }
         }
         assertThat(counters.get("discovery.connections")).isEqualTo(1);
     }
 
-    /** Guards against drains that lie unread while a turn of the event loop sends parts to their readers. */
+    /**
+     * Guards against drains that stay unread while a long event-loop iteration sends parts to the draining readers.
+     */
     @Test
-    void changeIsReadBeforeTheEventLoopTurnsAgain() throws IOException {
-        discovery.send(0, HEAD + chunk("\n"));
-        until(watch::isCurrent);
+    void readNowReadsAChangeWithoutTheEventLoop() throws IOException {
+        discovery.send(0, RESPONSE_HEAD + chunk("\n"));
+        runLoopUntil(watch::isCurrent);
         discovery.send(0, chunk(list(42, false, member("s1", "Terminating"))));
-        long limit = System.nanoTime() + REAL_PATIENCE_NS;
-        while (!told.contains("s1 DRAINING")) {
+        long limit = System.nanoTime() + TEST_TIMEOUT_NS;
+        while (!updates.contains("s1 DRAINING")) {
             assertThat(System.nanoTime()).as("nothing came").isLessThan(limit);
-            now += SECOND;
+            now += SECOND_US;
             watch.readNow();
         }
     }
--- a/coordinator/src/test/java/burlford/net/AcceptErrorsTest.java
+++ b/coordinator/src/test/java/burlford/net/AcceptErrorsTest.java
@@ -20,18 +20,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A listener whose accepts fail, on a clock that only the test moves. */
+/** {@link AcceptErrors} on a listener whose accepts fail, with a clock that only the test advances. */
 class AcceptErrorsTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final long STEP = 1_000;
-    /** The least time between a client's request and its deadline that a failed accept must not use up. */
-    private static final long NO_PAUSE = 100_000;
-    private static final int MOST_ACCEPTS_A_SECOND = 100;
-    private static final long REAL_PATIENCE_NS = 20_000_000_000L;
+    private static final long SECOND_US = 1_000_000;
+    private static final long STEP_US = 1_000;
+    /** Shortest deadline of a client's request; a failed accept must not use it up. */
+    private static final long SHORTEST_DEADLINE_US = 100_000;
+    private static final int MAX_ACCEPTS_PER_SECOND = 100;
+    private static final long TEST_TIMEOUT_NS = 20_000_000_000L;
 
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Timers deadlines = new Timers();
+    private final Timers timers = new Timers();
     private long now;
     private int failures;
     private int accepts;
@@ -40,7 +40,7 @@
     private int shortages;
     private ChannelFuture listener;
 
-    /** Fails as accept4 does without a free descriptor, so many times. */
+    /** Fails as often as {@code failures} says, in the way accept4 does without a free descriptor. */
     private final class FailingListener extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -54,7 +54,7 @@
     }
 
     @BeforeEach
-    void listen() {
+    void startListener() {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channelFactory(FailingListener::new)
                 .childHandler(new ChannelInboundHandlerAdapter() {
                     @Override
@@ -63,8 +63,8 @@
                     }
                 });
         listener = bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        until(listener::isDone);
-        AcceptErrors.Scheduler scheduler = (wait, action) -> deadlines.schedule(now + wait, action);
+        runLoopUntil(listener::isDone);
+        AcceptErrors.Scheduler scheduler = (delayUs, action) -> timers.schedule(now + delayUs, action);
         listener.channel().pipeline().addFirst(new AcceptErrors(scheduler, () -> errors++, () -> shortages++));
     }
 
@@ -74,29 +74,29 @@
         loop.runNow();
     }
 
-    private Socket client() throws IOException {
+    private Socket connectClient() throws IOException {
         return new Socket(InetAddress.getLoopbackAddress(),
                 ((InetSocketAddress) listener.channel().localAddress()).getPort());
     }
 
-    private void until(BooleanSupplier done) {
-        long limit = System.nanoTime() + REAL_PATIENCE_NS;
+    private void runLoopUntil(BooleanSupplier done) {
+        long limit = System.nanoTime() + TEST_TIMEOUT_NS;
         while (!done.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("did not come to pass").isLessThan(limit);
+            assertThat(System.nanoTime()).as("condition not met in time").isLessThan(limit);
             loop.runNow();
             Thread.yield();
         }
     }
 
-    /** Guards against a listener that stood still for a second after each failed accept: requests ran out of time. */
+    /** Guards against Netty's pause of a second after each failed accept, in which requests passed their deadlines. */
     @Test
-    void failedAcceptDoesNotPauseTheListener() throws IOException {
+    void failedAcceptsDoNotPauseTheListener() throws IOException {
         failures = 5;
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             assertThat(client.isConnected()).isTrue();
-            until(() -> accepts > 0);
-            for (long end = now + NO_PAUSE; now < end; now += STEP) {
-                deadlines.runDue(now);
+            runLoopUntil(() -> accepts > 0);
+            for (long end = now + SHORTEST_DEADLINE_US; now < end; now += STEP_US) {
+                timers.runDue(now);
                 loop.runNow();
             }
             assertThat(served).isEqualTo(1);
@@ -105,21 +105,21 @@
         assertThat(shortages).isPositive();
     }
 
-    /** Guards against an event loop that spins over a backlog it cannot accept. */
+    /** Guards against an event loop that spins while it cannot accept what is in the backlog. */
     @Test
-    void acceptsThatFailForLongDoNotSpin() throws IOException {
+    void lastingAcceptFailuresDoNotSpinTheEventLoop() throws IOException {
         failures = Integer.MAX_VALUE;
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             assertThat(client.isConnected()).isTrue();
-            until(() -> accepts > 0);
-            for (long end = now + SECOND; now < end; now += STEP) {
-                deadlines.runDue(now);
+            runLoopUntil(() -> accepts > 0);
+            for (long end = now + SECOND_US; now < end; now += STEP_US) {
+                timers.runDue(now);
                 loop.runNow();
             }
-            assertThat(accepts).isLessThan(MOST_ACCEPTS_A_SECOND);
+            assertThat(accepts).isLessThan(MAX_ACCEPTS_PER_SECOND);
             failures = 0;
-            for (long end = now + NO_PAUSE; now < end; now += STEP) {
-                deadlines.runDue(now);
+            for (long end = now + SHORTEST_DEADLINE_US; now < end; now += STEP_US) {
+                timers.runDue(now);
                 loop.runNow();
             }
             assertThat(served).isEqualTo(1);
--- a/coordinator/src/test/java/burlford/net/BacklogAgeTest.java
+++ b/coordinator/src/test/java/burlford/net/BacklogAgeTest.java
@@ -9,15 +9,16 @@
 
 class BacklogAgeTest {
 
-    private static final int MOST_ACCEPTED = 16;
+    private static final int MAX_ACCEPTS_PER_READ = 16;
 
-    private long unreadSince = 100;
-    private final EmbeddedChannel listener = new EmbeddedChannel(new BacklogAge(() -> unreadSince),
+    private long earliestArrivalAt = 100;
+    private final EmbeddedChannel listener = new EmbeddedChannel(new BacklogAge(() -> earliestArrivalAt),
             new ChannelInboundHandlerAdapter() {
                 @Override
                 public void exceptionCaught(io.netty.channel.ChannelHandlerContext ctx, Throwable cause) { }
             });
 
+    /** Accepts the given number of connections in one read; returns since when the last of them may have waited. */
     private long accept(int count) {
         EmbeddedChannel[] accepted = new EmbeddedChannel[count];
         for (int i = 0; i < count; i++) {
@@ -27,38 +28,40 @@
         return accepted[count - 1].attr(BacklogAge.WAITING_SINCE).get();
     }
 
-    /** Guards against connections taken to be new that an earlier turn had left in the backlog. */
+    /** Guards against connections that count as new though an earlier iteration left them in the backlog. */
     @Test
-    void whatATurnLeavesInTheBacklogCountsFromThatTurn() {
-        assertThat(accept(MOST_ACCEPTED)).isEqualTo(100);
-        unreadSince = 200;
-        assertThat(accept(MOST_ACCEPTED)).isEqualTo(100);
+    void connectionsLeftByAnIterationKeepItsArrivalTime() {
+        assertThat(accept(MAX_ACCEPTS_PER_READ)).isEqualTo(100);
+        earliestArrivalAt = 200;
+        assertThat(accept(MAX_ACCEPTS_PER_READ)).isEqualTo(100);
         assertThat(accept(1)).isEqualTo(100);
-        unreadSince = 300;
+        earliestArrivalAt = 300;
         assertThat(accept(1)).isEqualTo(300);
     }
 
-    /** Guards against the same where an accept failed, as without free descriptors, also behind one that did not. */
+    /**
+     * Guards against the same after a failed accept, as without free descriptors, also if accepts before it succeeded.
+     */
     @Test
-    void whatAFailedAcceptLeavesCountsFromThen() {
-        failAccept();
-        unreadSince = 200;
-        failAccept();
+    void connectionsLeftByAFailedAcceptKeepItsArrivalTime() {
+        endReadWithFailedAccept();
+        earliestArrivalAt = 200;
+        endReadWithFailedAccept();
         assertThat(accept(1)).isEqualTo(100);
-        fail();
-        unreadSince = 300;
+        fireAcceptFailure();
+        earliestArrivalAt = 300;
         assertThat(accept(1)).isEqualTo(100);
-        unreadSince = 400;
+        earliestArrivalAt = 400;
         assertThat(accept(1)).isEqualTo(400);
     }
 
-    /** As netty tells it: a read ends, and then that its last accept failed. */
-    private void failAccept() {
+    /** Fires the events in Netty's order: the end of the read, then the failure of its last accept. */
+    private void endReadWithFailedAccept() {
         listener.pipeline().fireChannelReadComplete();
-        fail();
+        fireAcceptFailure();
     }
 
-    private void fail() {
+    private void fireAcceptFailure() {
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
     }
 }
