--- a/coordinator/src/main/java/burlford/Main.java
+++ b/coordinator/src/main/java/burlford/Main.java
@@ -15,7 +15,9 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The command line. Usage errors and unusable configuration exit with 2, other failures with 1. */
+/**
+ * The command line. The exit status is 2 after a usage error or with an unusable configuration, 1 after other failures.
+ */
 public final class Main {
 
     private static final String USAGE = """
@@ -33,7 +35,7 @@
     private Main() { }
 
     public static void main(String[] args) {
-        // One line an event, unless the operator's own logging configuration says otherwise.
+        // One line per log record, unless the operator's logging configuration sets another format.
         if (System.getProperty(LOG_FORMAT) == null) {
             System.setProperty(LOG_FORMAT, "%1$tF %1$tT.%1$tL %4$s %5$s%6$s%n");
         }
--- a/coordinator/src/main/java/burlford/adapter/SimulatorHost.java
+++ b/coordinator/src/main/java/burlford/adapter/SimulatorHost.java
@@ -12,72 +12,78 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts one module instance for each query router the simulator names; instances share nothing. */
+/** Runs a separate module instance for each query router of the simulator; the instances share nothing. */
 public final class SimulatorHost {
 
-    /** An instance and what it has heard in the batch at hand. */
+    /** A module instance with its events of the current batch. */
     private static final class Instance {
         final Aggregator module;
-        final int reportFields;
-        final List<Aggregator.Event> events = new ArrayList<>();
+        final int reportFieldCount;
+        final List<Aggregator.Event> pendingEvents = new ArrayList<>();
 
-        Instance(Aggregator module, int reportFields) {
+        Instance(Aggregator module, int reportFieldCount) {
             this.module = module;
-            this.reportFields = reportFields;
+            this.reportFieldCount = reportFieldCount;
         }
     }
 
     private final Map<Integer, Instance> instances = new LinkedHashMap<>();
-    private final SimulatorCodec wire = new SimulatorCodec();
+    private final SimulatorCodec codec = new SimulatorCodec();
 
+    /**
+     * Reads batches of events and writes a reply frame for each of them, until the input ends.
+     *
+     * @throws burlford.settings.InputFormatException if a batch or an instance's settings are malformed
+     */
     public void run(InputStream in, OutputStream out) throws IOException {
-        for (SimulatorCodec.Batch batch = wire.read(in); batch != null; batch = wire.read(in)) {
-            answer(batch).write(out, batch.number());
+        for (SimulatorCodec.Batch batch = codec.read(in); batch != null; batch = codec.read(in)) {
+            process(batch).write(out, batch.number());
         }
     }
 
-    private SimulatorCodec.Reply answer(SimulatorCodec.Batch batch) {
+    private SimulatorCodec.Reply process(SimulatorCodec.Batch batch) {
         SimulatorCodec.Reply reply = new SimulatorCodec.Reply();
-        Map<Integer, Instance> heard = new LinkedHashMap<>();
-        for (SimulatorCodec.InputRecord item : batch.records()) {
-            if (item instanceof SimulatorCodec.InstanceStarted s) {
-                Aggregator.Settings settings = SettingsParser.parse(s.settings());
-                Instance fresh = new Instance(new Decide(settings, s.seed()), settings.reportFields().size());
-                instances.put(s.instance(), fresh);
-                heard.put(s.instance(), fresh);
-            } else if (item instanceof SimulatorCodec.InstanceStopped s) {
-                instances.remove(s.instance());
-                heard.remove(s.instance());
-            } else if (item instanceof SimulatorCodec.InstanceEvent h) {
-                Instance held = instances.get(h.instance());
-                if (held == null) {
-                    throw new InputFormatException("event for instance " + h.instance() + ", which was never started");
+        Map<Integer, Instance> addressed = new LinkedHashMap<>();
+        for (SimulatorCodec.InputRecord record : batch.records()) {
+            if (record instanceof SimulatorCodec.InstanceStarted started) {
+                Aggregator.Settings settings = SettingsParser.parse(started.settings());
+                Instance instance = new Instance(new Decide(settings, started.seed()), settings.reportFields().size());
+                instances.put(started.instance(), instance);
+                addressed.put(started.instance(), instance);
+            } else if (record instanceof SimulatorCodec.InstanceStopped stopped) {
+                instances.remove(stopped.instance());
+                addressed.remove(stopped.instance());
+            } else if (record instanceof SimulatorCodec.InstanceEvent received) {
+                Instance instance = instances.get(received.instance());
+                if (instance == null) {
+                    throw new InputFormatException("event for instance " + received.instance()
+                            + ", which was never started");
                 }
-                if (h.reportLength() != 0 && h.reportLength() != held.reportFields) {
-                    throw new InputFormatException("a load report of " + h.reportLength() + " values where "
-                            + held.reportFields + " are named");
+                if (received.reportLength() != 0 && received.reportLength() != instance.reportFieldCount) {
+                    throw new InputFormatException("a load report of " + received.reportLength()
+                            + " values where " + instance.reportFieldCount + " are named");
                 }
-                heard.put(h.instance(), held);
-                if (h.event() != null) {
-                    held.events.add(h.event());
+                addressed.put(received.instance(), instance);
+                if (received.event() != null) {
+                    instance.pendingEvents.add(received.event());
                 }
             }
         }
-        heard.forEach((number, instance) -> decide(reply, number, instance, batch.clock()));
+        addressed.forEach((number, instance) -> runRound(reply, number, instance, batch.clock()));
         return reply;
     }
 
-    private static void decide(SimulatorCodec.Reply reply, int number, Instance instance, long clock) {
+    private static void runRound(SimulatorCodec.Reply reply, int number, Instance instance, long clock) {
         List<Aggregator.Action> actions;
         try {
-            actions = instance.module.round(clock, instance.events);
+            actions = instance.module.round(clock, instance.pendingEvents);
         } catch (RuntimeException e) {
-            StackTraceElement[] at = e.getStackTrace();
+            StackTraceElement[] stackTrace = e.getStackTrace();
             reply.addInstance(number);
-            reply.addFailure(e + (at.length > 0 ? " at " + at[0] : ""));
+            reply.addFailure(e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
             return;
         } finally {
-            instance.events.clear();
+            instance.pendingEvents.clear();
         }
         if (!actions.isEmpty()) {
             reply.addInstance(number);
--- a/coordinator/src/main/java/burlford/adapter/package-info.java
+++ b/coordinator/src/main/java/burlford/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulator's wire on standard input and output, and the module instances behind it. May use {@code settings}
- * and {@code policy}; the daemon does not use it.
+ * Runs the decision module for the simulator, which exchanges frames with this program over standard input and output.
+ * May use {@code settings} and {@code policy}; the daemon does not use it.
  */
 package burlford.adapter;
--- a/coordinator/src/main/java/burlford/policy/Dispatcher.java
+++ b/coordinator/src/main/java/burlford/policy/Dispatcher.java
@@ -10,236 +10,291 @@
 import java.util.Set;
 
 /**
- * The decision module behind plain calls. Every call says what happened, returns at once and hands back what
- * is to be done now; nothing of the module's events and actions shows. Times are microseconds on the
+ * Method-call interface to the decision module. Each call reports what happened and returns at once with the decisions
+ * to carry out; the module's events and actions stay hidden. All times and durations are microseconds; times are on the
  * coordinator's clock. Not thread-safe: one event loop owns it.
  */
 public final class Dispatcher {
 
-    /** Parts a query may have: its parts' ids in the module are the query's with the part's place added. */
+    /** Maximum number of parts of a query; the module's id of a part is that of its query plus 1 plus its index. */
     public static final int MAX_PARTS = 1000;
-    private static final int ID_SPAN = 1024;
-    private static final int MOST_ATTEMPTS = 16;
+    private static final int IDS_PER_QUERY = 1024;
+    private static final int MAX_ATTEMPTS_PER_PART = 16;
 
+    /**
+     * A part of a query.
+     *
+     * @param weight its share of the query, from 0 to 1
+     * @param hint the client's estimate of the part's cost in any unit; 0: none
+     * @param key key of what the part asks for; 0: none
+     */
     public record Part(int shard, double weight, long hint, long key) { }
 
-    /** startedAt: on the coordinator's clock; 0: long ago. */
+    /**
+     * A reader in the reader list.
+     *
+     * @param size size relative to an ordinary reader
+     * @param startedAt when it started, by the list's clock, in microseconds; 0: long ago or not known
+     */
     public record Reader(String id, int zone, int cell, Aggregator.Status status, double size, long startedAt) { }
 
-    /** An attempt to start: a part (by its place in the query) at a reader. timeout 0: the client's time. */
+    /**
+     * An attempt to send.
+     *
+     * @param part index of the part in its query
+     * @param attempt index of the attempt among those of the part, from 0
+     * @param timeout how long to wait for the answer; 0: until the client's deadline
+     */
     public record Send(long query, int part, int attempt, String reader, long timeout) { }
 
+    /** An attempt to cancel, with the same indexes as in {@link Send}. */
     public record Cancel(long query, int part, int attempt) { }
 
+    /** How a query ended; REFUSED: repeating it is certain to do no harm. */
     public enum Verdict { ANSWERED, REFUSED, FAILED }
 
-    /** The final word on a query. comeBack: advice to a refused client, 0 for none. reason: null where answered. */
+    /**
+     * The final answer to a query.
+     *
+     * @param whole whether an answered query is answered whole, not partially
+     * @param retryAfter time after which a refused client is advised to retry; 0: no advice
+     * @param reason why the query was not answered; null if it was
+     */
     public record FinalAnswer(long query, Verdict verdict, boolean whole, long retryAfter, Aggregator.Reason reason) { }
 
-    /** What to do now, list by list in this order. wakeIn: call tick after so long; 0: no need. */
+    /**
+     * What to do now: list by list, in the order of the components.
+     *
+     * @param closeIdle readers to which idle connections are to be closed
+     * @param probes readers to probe
+     * @param tickDelay time after which {@link #tick} is to be called; 0: no call is needed
+     */
     public record Decisions(List<Cancel> cancels, List<String> closeIdle, List<Send> sends, List<String> probes,
             List<FinalAnswer> finalAnswers, long tickDelay) { }
 
     private final Decide module;
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, String> names = new HashMap<>();
-    private final Set<String> listed = new HashSet<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    /** What others of the process said, for the module to hear before anything else is decided. */
-    private final List<Event> heard = new ArrayList<>();
-    private long latest = Long.MIN_VALUE;
+    private final Map<String, Long> replicaByReader = new HashMap<>();
+    private final Map<Long, String> readerByReplica = new HashMap<>();
+    private final Set<String> listedReaders = new HashSet<>();
+    private final Map<Long, Integer> attemptCountByPart = new HashMap<>();
+    /** Events of peers that the module gets at the start of its next round, before anything else. */
+    private final List<Event> pendingPeerEvents = new ArrayList<>();
+    /** Time of the latest call; the module does not accept a clock that runs backwards. */
+    private long latestTime = Long.MIN_VALUE;
 
     public Dispatcher(Aggregator.Settings settings, long seed) {
         module = new Decide(settings, seed);
     }
 
     /**
-     * Shares what the rules count with the dispatcher that this one replaces, once the list has been told here: budgets
-     * of readers in slow start and of further attempts, which new settings neither renew nor double.
+     * Shares the budgets of readers in slow start and of further attempts with the dispatcher that this one replaces,
+     * so that new settings neither renew nor double them. To be called after this dispatcher has received the reader
+     * list.
      */
-    public void shareBudgetsWith(Dispatcher before) {
-        module.shareBudgetsWith(before.module);
+    public void shareBudgetsWith(Dispatcher predecessor) {
+        module.shareBudgetsWith(predecessor.module);
     }
 
-    /** A query came in; its number is the caller's, above 0 and never used twice. */
-    public Decisions submit(long now, long query, int queryClass, int tenant, long key, boolean retry, long timeLeft,
-            List<Part> parts) {
+    /**
+     * Reports that a query has come in.
+     *
+     * @param query a number above 0 that the caller chooses and never uses twice
+     * @param key key of what the query asks for; 0: none
+     * @param clientRetry whether the client marked the query as a retry
+     * @param timeLeft time until the client leaves
+     */
+    public Decisions submit(long now, long query, int queryClass, int tenant, long key, boolean clientRetry,
+            long timeLeft, List<Part> parts) {
         List<Event> events = new ArrayList<>(parts.size() + 1);
-        events.add(new Aggregator.QueryArrived(query * ID_SPAN, query, queryClass, parts.size(), timeLeft, 0, retry,
-                key, tenant));
+        events.add(new Aggregator.QueryArrived(query * IDS_PER_QUERY, query, queryClass, parts.size(), timeLeft, 0,
+                clientRetry, key, tenant));
         for (int i = 0; i < parts.size(); i++) {
             Part p = parts.get(i);
-            events.add(new Aggregator.PartArrived(id(query, i), query, p.shard(), p.weight(), p.hint(), p.key()));
+            events.add(new Aggregator.PartArrived(partId(query, i), query, p.shard(), p.weight(), p.hint(), p.key()));
         }
         return round(now, events);
     }
 
     /**
-     * An attempt that was decided before is about to begin.
+     * Reports that an attempt, which was decided earlier, is about to be sent.
      *
-     * @return whether it may still begin, as far as the module keeps count: the window and budget of repeats
+     * @return whether it may still be sent as far as the repeat window and the budget of further attempts are
+     *     concerned; if so, it counts for the budgets from now on
      */
     public boolean tryBegin(long now, Send attempt) {
-        latest = Math.max(latest, now);
-        return module.tryBegin(id(attempt.query(), attempt.part()), attempt.attempt(), latest);
+        latestTime = Math.max(latestTime, now);
+        return module.tryBegin(partId(attempt.query(), attempt.part()), attempt.attempt(), latestTime);
     }
 
-    /** An attempt ended. over: its part needs no more. load: the reader's report, or empty. */
-    public Decisions report(long now, Send attempt, Aggregator.Outcome outcome, long elapsed, boolean over,
-            double[] load) {
-        return round(now, List.of(new Aggregator.AttemptEnded(id(attempt.query(), attempt.part()), attempt.attempt(),
-                known(attempt.reader()), outcome, elapsed, over, load)));
+    /**
+     * Reports that an attempt has ended.
+     *
+     * @param elapsed how long it took
+     * @param partClosed whether its part needs no further attempt
+     * @param loadReport the reader's load report, or empty
+     */
+    public Decisions report(long now, Send attempt, Aggregator.Outcome outcome, long elapsed, boolean partClosed,
+            double[] loadReport) {
+        return round(now, List.of(new Aggregator.AttemptEnded(partId(attempt.query(), attempt.part()),
+                attempt.attempt(), replicaOf(attempt.reader()), outcome, elapsed, partClosed, loadReport)));
     }
 
-    /** A probe ended. */
-    public Decisions report(long now, String reader, Aggregator.Outcome outcome, long elapsed, double[] load) {
-        return round(now, List.of(new Aggregator.ProbeEnded(known(reader), outcome, elapsed, load)));
+    /** Reports that a probe has ended, with the reader's load report or an empty one. */
+    public Decisions report(long now, String reader, Aggregator.Outcome outcome, long elapsed, double[] loadReport) {
+        return round(now, List.of(new Aggregator.ProbeEnded(replicaOf(reader), outcome, elapsed, loadReport)));
     }
 
-    /** The client of a query has left, or its time is over. */
+    /** Reports that the client of a query has left, or that the query's deadline has come. */
     public Decisions report(long now, long query) {
-        return round(now, List.of(new Aggregator.ClientLeft(query * ID_SPAN)));
+        return round(now, List.of(new Aggregator.ClientLeft(query * IDS_PER_QUERY)));
     }
 
-    /** Discovery spoke: the whole list, the list as it once was, or the entries that changed. */
+    /** Reports the reader list: complete, complete as of an earlier time, or the entries that changed. */
     public Decisions report(long now, Aggregator.ListKind kind, List<Reader> readers) {
         if (kind != Aggregator.ListKind.CHANGES) {
-            listed.clear();
+            listedReaders.clear();
         }
         readers.forEach(r -> {
-            number(r.id());
+            registerReader(r.id());
             if (r.status() == Aggregator.Status.GONE) {
-                listed.remove(r.id());
+                listedReaders.remove(r.id());
             } else {
-                listed.add(r.id());
+                listedReaders.add(r.id());
             }
         });
-        List<Aggregator.ListEntry> entries = readers.stream().map(r -> new Aggregator.ListEntry(number(r.id()),
+        List<Aggregator.ListEntry> entries = readers.stream().map(r -> new Aggregator.ListEntry(registerReader(r.id()),
                 r.zone(), r.cell(), r.status(), r.size(), r.startedAt())).toList();
         Decisions decisions = round(now, List.of(new Aggregator.ListUpdate(kind, entries)));
-        // Readers are replaced by new ones all day; nothing is sent to one that is gone, so its name is not needed.
-        numbers.keySet().retainAll(listed);
-        names.values().retainAll(listed);
+        // Readers are replaced by new ones all the time, and nothing is sent to one that has left: it is forgotten.
+        replicaByReader.keySet().retainAll(listedReaders);
+        readerByReplica.values().retainAll(listedReaders);
         return decisions;
     }
 
-    /** What other coordinators of this process did and learnt; it counts from the next decision on. */
-    public void addPeerUpdates(List<PeerUpdate> words) {
-        for (PeerUpdate word : words) {
-            if (word instanceof PeerUpdate.AttemptSent w) {
-                Part p = w.part();
-                heard.add(new Aggregator.PeerAttemptSent(peer(w.send()), known(w.send().reader()), w.queryClass(),
-                        p.shard(), p.hint(), p.key(), w.sentAt(), w.waitsUntil()));
-            } else if (word instanceof PeerUpdate.AttemptEnded w) {
-                heard.add(new Aggregator.PeerAttemptEnded(peer(w.send()), known(w.send().reader()), w.outcome(),
-                        w.endedAt(), w.elapsed(), w.loadReport()));
-            } else if (word instanceof PeerUpdate.ProbeEnded w) {
-                heard.add(new Aggregator.PeerProbeEnded(known(w.reader()), w.outcome(), w.endedAt(), w.elapsed(),
-                        w.loadReport()));
+    /** Takes peer updates, which are considered from the next decision on. */
+    public void addPeerUpdates(List<PeerUpdate> updates) {
+        for (PeerUpdate update : updates) {
+            if (update instanceof PeerUpdate.AttemptSent sent) {
+                Part part = sent.part();
+                pendingPeerEvents.add(new Aggregator.PeerAttemptSent(peerAttemptId(sent.send()),
+                        replicaOf(sent.send().reader()), sent.queryClass(), part.shard(), part.hint(), part.key(),
+                        sent.sentAt(), sent.waitsUntil()));
+            } else if (update instanceof PeerUpdate.AttemptEnded ended) {
+                pendingPeerEvents.add(new Aggregator.PeerAttemptEnded(peerAttemptId(ended.send()),
+                        replicaOf(ended.send().reader()), ended.outcome(), ended.endedAt(), ended.elapsed(),
+                        ended.loadReport()));
+            } else if (update instanceof PeerUpdate.ProbeEnded probe) {
+                pendingPeerEvents.add(new Aggregator.PeerProbeEnded(replicaOf(probe.reader()), probe.outcome(),
+                        probe.endedAt(), probe.elapsed(), probe.loadReport()));
             } else {
-                heard.add(new Aggregator.PeerUpdatesLost());
+                pendingPeerEvents.add(new Aggregator.PeerUpdatesLost());
             }
         }
     }
 
-    /** One id for an attempt: the parts of a query have fewer than that many attempts each. */
-    private static long peer(Send s) {
-        return id(s.query(), s.part()) * MOST_ATTEMPTS + s.attempt() % MOST_ATTEMPTS;
+    /**
+     * Returns an id of a peer's attempt that is unique in the process, since parts have fewer attempts than
+     * MAX_ATTEMPTS_PER_PART.
+     */
+    private static long peerAttemptId(Send send) {
+        return partId(send.query(), send.part()) * MAX_ATTEMPTS_PER_PART + send.attempt() % MAX_ATTEMPTS_PER_PART;
     }
 
-    /** Time passed. */
+    /** Lets the module check its open queries; to be called after the tickDelay of each decision. */
     public Decisions tick(long now) {
         return round(now, List.of(new Aggregator.Alarm(0)));
     }
 
-    private Decisions round(long now, List<Event> happened) {
-        latest = Math.max(latest, now);
-        List<Event> events = happened;
-        if (!heard.isEmpty()) {
-            events = new ArrayList<>(heard);
-            heard.clear();
-            events.addAll(happened);
+    private Decisions round(long now, List<Event> newEvents) {
+        latestTime = Math.max(latestTime, now);
+        List<Event> events = newEvents;
+        if (!pendingPeerEvents.isEmpty()) {
+            events = new ArrayList<>(pendingPeerEvents);
+            pendingPeerEvents.clear();
+            events.addAll(newEvents);
         }
-        Decisions d = new Decisions(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>(),
+        Decisions decisions = new Decisions(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>(),
                 new ArrayList<>(), 0);
-        long wakeIn = 0;
-        for (Action action : module.round(latest, events)) {
+        long tickDelay = 0;
+        for (Action action : module.round(latestTime, events)) {
             if (action instanceof Aggregator.Send a) {
-                int attempt = attempts.merge(a.part(), 1, Integer::sum) - 1;
-                d.sends.add(new Send(query(a.part()), part(a.part()), attempt, names.get(a.replica()), a.timeout()));
+                int attempt = attemptCountByPart.merge(a.part(), 1, Integer::sum) - 1;
+                decisions.sends.add(new Send(queryOf(a.part()), partIndexOf(a.part()), attempt,
+                        readerByReplica.get(a.replica()), a.timeout()));
             } else if (action instanceof Aggregator.Cancel a) {
-                d.cancels.add(new Cancel(query(a.part()), part(a.part()), a.attempt()));
+                decisions.cancels.add(new Cancel(queryOf(a.part()), partIndexOf(a.part()), a.attempt()));
             } else if (action instanceof Aggregator.Probe a) {
-                d.probes.add(names.get(a.replica()));
+                decisions.probes.add(readerByReplica.get(a.replica()));
             } else if (action instanceof Aggregator.CloseIdleConnections a) {
-                d.closeIdle.add(names.get(a.replica()));
+                decisions.closeIdle.add(readerByReplica.get(a.replica()));
             } else if (action instanceof Aggregator.Answer a) {
-                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.ANSWERED, a.whole(), 0, null));
+                decisions.finalAnswers.add(new FinalAnswer(queryOf(a.query()), Verdict.ANSWERED, a.whole(), 0, null));
             } else if (action instanceof Aggregator.Refuse a) {
-                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.REFUSED, false, a.retryAfter(),
+                decisions.finalAnswers.add(new FinalAnswer(queryOf(a.query()), Verdict.REFUSED, false, a.retryAfter(),
                         a.reason()));
             } else if (action instanceof Aggregator.Fail a) {
-                d.finalAnswers.add(new FinalAnswer(query(a.query()), Verdict.FAILED, false, 0, a.reason()));
+                decisions.finalAnswers.add(new FinalAnswer(queryOf(a.query()), Verdict.FAILED, false, 0, a.reason()));
             } else if (action instanceof Aggregator.SetAlarm a) {
-                wakeIn = wakeIn == 0 ? a.delay() : Math.min(wakeIn, a.delay());
+                tickDelay = tickDelay == 0 ? a.delay() : Math.min(tickDelay, a.delay());
             }
-            // WatchList: discovery is always watched.
+            // WatchList needs no action: the coordinator always watches the list.
         }
-        return new Decisions(d.cancels, d.closeIdle, d.sends, d.probes, d.finalAnswers, wakeIn);
+        return new Decisions(decisions.cancels, decisions.closeIdle, decisions.sends, decisions.probes,
+                decisions.finalAnswers, tickDelay);
     }
 
-    /** Forgets the attempt numbers of a query that has ended and has none out. */
-    public void forget(long query, int parts) {
-        for (int i = 0; i < parts; i++) {
-            attempts.remove(id(query, i));
+    /** Forgets the attempt counts of a query that has ended and has no attempt in flight. */
+    public void forget(long query, int partCount) {
+        for (int i = 0; i < partCount; i++) {
+            attemptCountByPart.remove(partId(query, i));
         }
     }
 
-    private static long id(long query, int part) {
-        return query * ID_SPAN + 1 + part;
+    private static long partId(long query, int part) {
+        return query * IDS_PER_QUERY + 1 + part;
     }
 
-    private static long query(long id) {
-        return id / ID_SPAN;
+    private static long queryOf(long partId) {
+        return partId / IDS_PER_QUERY;
     }
 
-    private static int part(long id) {
-        return (int) (id % ID_SPAN) - 1;
+    private static int partIndexOf(long partId) {
+        return (int) (partId % IDS_PER_QUERY) - 1;
     }
 
-    /** Readers are numbered by a hash of their id, so that all coordinators agree on a key's home. */
-    private long number(String reader) {
-        Long known = numbers.get(reader);
-        if (known != null) {
-            return known;
+    /** Returns the number of a reader: a hash of its id, so that all coordinators agree on the home of a key. */
+    private long registerReader(String reader) {
+        Long replica = replicaByReader.get(reader);
+        if (replica != null) {
+            return replica;
         }
         long hash = hash(reader);
-        while (names.putIfAbsent(hash, reader) != null) {
+        while (readerByReplica.putIfAbsent(hash, reader) != null) {
             hash++;
         }
-        numbers.put(reader, hash);
+        replicaByReader.put(reader, hash);
         return hash;
     }
 
-    /** That of a reader that may be gone; it is not numbered anew. */
-    private long known(String reader) {
-        Long known = numbers.get(reader);
-        return known == null ? hash(reader) : known;
+    /** Returns the number of a reader that may have left the list, without registering the reader again. */
+    private long replicaOf(String reader) {
+        Long replica = replicaByReader.get(reader);
+        return replica == null ? hash(reader) : replica;
     }
 
-    /** Readers by name that are held; no more than are listed, however many came and went. */
+    /** Returns the number of readers held: never more than are listed, however many have come and gone. */
     int readerCount() {
-        return Math.max(numbers.size(), names.size());
+        return Math.max(replicaByReader.size(), readerByReplica.size());
     }
 
-    /** FNV-1a, 64 bits, then mixed. Never 0, which stands for no key. */
+    /** 64-bit FNV-1a hash with a final mixing step. Never 0, as a key of 0 means that there is none. */
     public static long hash(String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
-        h = (h ^ h >>> 33) * 0xff51afd7ed558ccdL;
-        h ^= h >>> 33;
-        return h == 0 ? 1 : h;
+        hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
+        hash ^= hash >>> 33;
+        return hash == 0 ? 1 : hash;
     }
 }
--- a/coordinator/src/main/java/burlford/policy/Estimators.java
+++ b/coordinator/src/main/java/burlford/policy/Estimators.java
@@ -1,47 +1,53 @@
 package burlford.policy;
 
-/** Arithmetic the module measures with: no decision and no tuned value, all figures are the caller's. */
+/** Estimators of the decision module. No decisions and no tuned values: every parameter comes from the caller. */
 final class Estimators {
 
     private Estimators() { }
 
-    /** What is left of something noted at a time, when it halves every so often; nought if it was never noted. */
+    /** Returns the weight, from 1 down to 0, that is left of a value noted at since; 0 if since is NEVER. */
     static double decayFactor(long since, double now, double halfLife) {
         return since == Decide.NEVER ? 0 : Math.pow(0.5, (now - since) / halfLife);
     }
 
-    /** Moves a mark by a step towards its quantile of what is seen. */
-    static double stepToQuantile(double mark, double seen, double quantile, double step) {
-        return mark * (1 + step * (seen > mark ? quantile : quantile - 1));
+    /**
+     * Moves an estimate of a quantile towards it by one sample.
+     *
+     * @param step relative size of the move, before it is weighted by the quantile
+     * @return the new estimate
+     */
+    static double stepToQuantile(double estimate, double sample, double quantile, double step) {
+        return estimate * (1 + step * (sample > estimate ? quantile : quantile - 1));
     }
 
     /**
-     * The most that n together may do on the mean, each with gaps of its own between its turns, so that what they
-     * do in any span passes a bound no more often than z spreads are passed: each does its share rounded up or down,
-     * so the sum's spread is at most its root, and at most half the root of n; without chance it is n at most.
+     * Returns the highest mean of a sum such that the mean plus z standard deviations stays within the bound. The sum
+     * is what a number of senders send within a window, each at regular intervals of its own, so that each sends its
+     * share of the mean rounded up or down. Therefore the standard deviation is at most the square root of the mean,
+     * and at most half the square root of the number of senders; and the sum exceeds the mean by that number at most.
      */
-    static double maxMeanWithin(double bound, int n, double z) {
+    static double maxMeanWithin(double bound, int senders, double z) {
         return Math.max(bound + z * z / 2 - z * Math.sqrt(bound + z * z / 4),
-                bound - Math.min(n, z * Math.sqrt(n) / 2));
+                bound - Math.min(senders, z * Math.sqrt(senders) / 2));
     }
 
-    /** A hash of two numbers. */
+    /** Returns a 64-bit hash of two numbers. */
     static long mixHash(long a, long b) {
-        long h = (a ^ b * 0x9E3779B97F4A7C15L) * 0xD6E8FEB86659FD93L;
-        h = (h ^ h >>> 32) * 0xD6E8FEB86659FD93L;
-        return h ^ h >>> 32;
+        long hash = (a ^ b * 0x9E3779B97F4A7C15L) * 0xD6E8FEB86659FD93L;
+        hash = (hash ^ hash >>> 32) * 0xD6E8FEB86659FD93L;
+        return hash ^ hash >>> 32;
     }
 
-    /** Faded counts of what was served and what came to nothing. */
+    /** Counts of successes and failures that decay exponentially. The half-life is passed with each call. */
     static final class DecayingCounts {
         private double successes;
         private double failures;
         private long updatedAt = Decide.NEVER;
 
-        void add(double served, double lost, long now, double halfLife) {
-            double kept = decayFactor(updatedAt, now, halfLife);
-            successes = successes * kept + served;
-            failures = failures * kept + lost;
+        void add(double newSuccesses, double newFailures, long now, double halfLife) {
+            double factor = decayFactor(updatedAt, now, halfLife);
+            successes = successes * factor + newSuccesses;
+            failures = failures * factor + newFailures;
             updatedAt = now;
         }
 
@@ -54,24 +60,35 @@
         }
     }
 
-    /** A line fitted by least squares to points that are forgotten at a given rate; it never falls. */
+    /**
+     * A line fitted by least squares to points whose weights decay with each further point. Its slope is not negative,
+     * and its intercept is at least 1.
+     */
     static final class LinearFit {
-        private final double[] sums = new double[5];
+        /** Decayed sums of 1, x, x * x, y and x * y. */
+        private final double[] weightedSums = new double[5];
         double intercept;
         double slope;
 
-        /** leastShare: the line's start is at least this share of the mean. */
-        void add(double x, double y, double forget, double leastShare) {
-            double[] point = {1, x, x * x, y, x * y};
-            for (int i = 0; i < sums.length; i++) {
-                sums[i] = sums[i] * forget + point[i];
+        /**
+         * Adds a point and fits the line again.
+         *
+         * @param decayPerSample factor on the weights of all earlier points
+         * @param minInterceptShare lower limit of the intercept, as a share of the mean of y
+         */
+        void add(double x, double y, double decayPerSample, double minInterceptShare) {
+            double[] terms = {1, x, x * x, y, x * y};
+            for (int i = 0; i < weightedSums.length; i++) {
+                weightedSums[i] = weightedSums[i] * decayPerSample + terms[i];
             }
-            double n = sums[0];
-            double mean = sums[3] / n;
-            double spread = sums[2] - sums[1] * sums[1] / n;
-            double rise = spread > 1e-6 * n ? (sums[4] - sums[1] * mean) / spread : 0;
-            slope = Math.max(0, Math.min(rise, (1 - leastShare) * mean / Math.max(1e-6, sums[1] / n)));
-            intercept = Math.max(1, mean - slope * sums[1] / n);
+            double weight = weightedSums[0];
+            double meanY = weightedSums[3] / weight;
+            double squaredDeviations = weightedSums[2] - weightedSums[1] * weightedSums[1] / weight;
+            double fittedSlope = squaredDeviations > 1e-6 * weight
+                    ? (weightedSums[4] - weightedSums[1] * meanY) / squaredDeviations : 0;
+            slope = Math.max(0, Math.min(fittedSlope,
+                    (1 - minInterceptShare) * meanY / Math.max(1e-6, weightedSums[1] / weight)));
+            intercept = Math.max(1, meanY - slope * weightedSums[1] / weight);
         }
 
         double predict(double x) {
--- a/coordinator/src/main/java/burlford/policy/PeerUpdate.java
+++ b/coordinator/src/main/java/burlford/policy/PeerUpdate.java
@@ -5,22 +5,37 @@
 import burlford.policy.Dispatcher.Send;
 
 /**
- * What one coordinator of a process did or learnt, as the others of the process hear it. Times are microseconds on
- * the clock that all of them share: what is old when it is heard counts as old.
+ * What a coordinator tells the other coordinators in its process about its attempts and probes. All times and durations
+ * are microseconds; times are on the clock that the coordinators share, so an update that arrives late is known to be
+ * old.
  */
 public sealed interface PeerUpdate {
 
-    /** It sent an attempt of a part; until: it will not wait longer. */
+    /**
+     * The coordinator has sent an attempt of a part.
+     *
+     * @param waitsUntil when it stops waiting for the answer
+     */
     record AttemptSent(Send send, Part part, int queryClass, long sentAt, long waitsUntil) implements PeerUpdate { }
 
-    /** An attempt it sent has ended. load: the reader's report, or empty. */
+    /**
+     * An attempt of the coordinator has ended.
+     *
+     * @param elapsed how long it took
+     * @param loadReport the reader's load report, or empty
+     */
     record AttemptEnded(Send send, Outcome outcome, long endedAt, long elapsed, double[] loadReport)
             implements PeerUpdate { }
 
-    /** A probe it sent has ended. */
+    /**
+     * A probe of the coordinator has ended.
+     *
+     * @param elapsed how long it took
+     * @param loadReport the reader's load report, or empty
+     */
     record ProbeEnded(String reader, Outcome outcome, long endedAt, long elapsed, double[] loadReport)
             implements PeerUpdate { }
 
-    /** Words were lost: what others have out is not known any more. */
+    /** Updates were dropped, so it is no longer known which attempts the other coordinators have in flight. */
     record UpdatesLost() implements PeerUpdate { }
 }
--- a/coordinator/src/main/java/burlford/policy/SendCheck.java
+++ b/coordinator/src/main/java/burlford/policy/SendCheck.java
@@ -4,40 +4,44 @@
 import java.util.Optional;
 
 /**
- * Looks again at an attempt right before its frame is written. It was decided earlier: since then its event loop may
- * have been busy or held up, or the connection may have taken its time to come up.
+ * Checks an attempt again right before its frame is written. The attempt was decided earlier: since then the event loop
+ * may have been busy or stalled, or the connection may have taken long to be established.
  */
 public final class SendCheck {
 
-    /** A reader is told whole milliseconds: with less left an attempt cannot be told its time. */
-    private static final long LEAST_TIME_LEFT_US = 1_000;
+    /** Frames give the time left in whole milliseconds, so an attempt with less than one cannot be sent. */
+    private static final long MIN_TIME_LEFT_US = 1_000;
 
-    /** Why an attempt does not begin any more. */
+    /** Why an attempt that was decided is not sent. */
     public enum WithholdReason { QUERY_OVER, TIME_OVER, READER_NOT_READY, REPEATED_TOO_LATE, CLIENT_LEFT }
 
     /**
-     * What is known of an attempt as it is about to begin.
+     * State of an attempt that is about to be sent.
      *
-     * @param deadline when the coordinator stops waiting for it, in microseconds
-     * @param readerStatus the state of its reader; GONE where it is not listed, or has started anew since the decision
-     * @param repeatAllowed it is its part's first attempt, or the part may run once more at this time
-     * @param clientConnected its query's client has not closed its connection
+     * @param deadline when the coordinator stops waiting for the attempt, in microseconds on the coordinator's clock
+     * @param readerStatus status of its reader; GONE also if the reader has restarted since the decision
+     * @param repeatAllowed whether it is the first attempt of its part, or the part may still be sent again now
+     * @param clientConnected whether the client of its query has not closed its connection
      */
     public record AttemptState(long deadline, Status readerStatus, boolean repeatAllowed, boolean clientConnected) { }
 
     private SendCheck() { }
 
-    /** Why the attempt may not begin now; empty where it may. */
-    public static Optional<WithholdReason> reasonToWithhold(long now, AttemptState facts) {
-        if (facts.deadline() - now < LEAST_TIME_LEFT_US) {
+    /**
+     * Returns why the attempt may not be sent; empty if it may.
+     *
+     * @param now the coordinator's clock in microseconds
+     */
+    public static Optional<WithholdReason> reasonToWithhold(long now, AttemptState attempt) {
+        if (attempt.deadline() - now < MIN_TIME_LEFT_US) {
             return Optional.of(WithholdReason.TIME_OVER);
         }
-        if (facts.readerStatus() != Status.READY) {
+        if (attempt.readerStatus() != Status.READY) {
             return Optional.of(WithholdReason.READER_NOT_READY);
         }
-        if (!facts.repeatAllowed()) {
+        if (!attempt.repeatAllowed()) {
             return Optional.of(WithholdReason.REPEATED_TOO_LATE);
         }
-        return facts.clientConnected() ? Optional.empty() : Optional.of(WithholdReason.CLIENT_LEFT);
+        return attempt.clientConnected() ? Optional.empty() : Optional.of(WithholdReason.CLIENT_LEFT);
     }
 }
--- a/coordinator/src/main/java/burlford/policy/package-info.java
+++ b/coordinator/src/main/java/burlford/policy/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decision module: which reader gets a part, when it is tried again, what is turned away. Owns {@code Decide}
- * and its interface {@code Aggregator}; {@code Dispatcher} is the module behind plain calls. Uses nothing but
- * java.util: no I/O, no clock, no threads. {@code StartTimes} reckons when servers started.
+ * The decision module: which reader gets a part, when a part is sent again, which queries are refused. {@code Decide}
+ * makes the decisions, {@code Aggregator} is its interface, {@code Dispatcher} offers it as method calls, 
+ * {@code SendCheck} checks an attempt again right before it is sent, {@code StartTimes} converts the start times of
+ * servers to the own clock. Uses java.util only: no I/O, no clock, no threads.
  */
 package burlford.policy;
--- a/coordinator/src/main/java/burlford/settings/InputFormatException.java
+++ b/coordinator/src/main/java/burlford/settings/InputFormatException.java
@@ -1,6 +1,6 @@
 package burlford.settings;
 
-/** The input breaks the wire's format; the message says where. */
+/** A frame of the simulator or a settings text is malformed; the message says where. */
 public final class InputFormatException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/coordinator/src/main/java/burlford/settings/SettingsParser.java
+++ b/coordinator/src/main/java/burlford/settings/SettingsParser.java
@@ -6,74 +6,80 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings text of the wire into the interface's types: names and units, nothing else. */
+/**
+ * Parses a settings text, which has a line path=value for each setting, into the module's types. Times are
+ * microseconds. Unknown settings are ignored.
+ */
 public final class SettingsParser {
 
-    private final Map<String, String> values = new HashMap<>();
+    private final Map<String, String> valueByPath = new HashMap<>();
 
     private SettingsParser() { }
 
+    /** Throws {@link InputFormatException} if a setting is malformed or a required one is missing. */
     public static Aggregator.Settings parse(String text) {
-        SettingsParser s = new SettingsParser();
-        int row = 0;
+        SettingsParser parser = new SettingsParser();
+        int lineNumber = 0;
         for (String line : text.split("\n", -1)) {
-            row++;
+            lineNumber++;
             if (line.isBlank()) {
                 continue;
             }
-            int eq = line.indexOf('=');
-            if (eq <= 0) {
-                throw new InputFormatException("settings line " + row + " is not path=value: " + line);
+            int separator = line.indexOf('=');
+            if (separator <= 0) {
+                throw new InputFormatException("settings line " + lineNumber + " is not path=value: " + line);
             }
-            s.values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            parser.valueByPath.put(line.substring(0, separator).trim(), line.substring(separator + 1).trim());
         }
-        return s.build();
+        return parser.build();
     }
 
     private Aggregator.Settings build() {
         List<Aggregator.QueryClass> classes = new ArrayList<>();
-        int count = (int) needed("classes.count");
+        int count = (int) required("classes.count");
         for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
-            double need = item("familyInfo.completeFrom", i, 1);
-            classes.add(new Aggregator.QueryClass((long) needed(at + "target"), (long) needed(at + "deadline"),
-                    effect(at + "effect"), (long) number(at + "memorySpan", 0), needed(at + "points"),
-                    number(at + "lateWorth", 0), need, item("familyInfo.classFloor", i, need),
-                    item("familyInfo.shortWorth", i, 0), (int) item("familyInfo.followUp", i, 0)));
+            String prefix = "classes." + i + ".";
+            double need = listItem("familyInfo.completeFrom", i, 1);
+            classes.add(new Aggregator.QueryClass((long) required(prefix + "target"),
+                    (long) required(prefix + "deadline"), effect(prefix + "effect"),
+                    (long) number(prefix + "memorySpan", 0), required(prefix + "points"),
+                    number(prefix + "lateWorth", 0), need, listItem("familyInfo.classFloor", i, need),
+                    listItem("familyInfo.shortWorth", i, 0), (int) listItem("familyInfo.followUp", i, 0)));
         }
         List<Aggregator.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < (int) number("tenants.count", 0); i++) {
-            tenants.add(new Aggregator.Tenant(needed("tenants." + i + ".allowancePerS"),
+            tenants.add(new Aggregator.Tenant(required("tenants." + i + ".allowancePerS"),
                     number("tenants." + i + ".share", 0)));
         }
-        boolean budget = values.containsKey("rules.lookBack")
-                && (values.containsKey("rules.resendRatio") || values.containsKey("rules.minExtra"));
+        boolean hasBudget = valueByPath.containsKey("rules.lookBack")
+                && (valueByPath.containsKey("rules.resendRatio") || valueByPath.containsKey("rules.minExtra"));
         Aggregator.Rules rules = new Aggregator.Rules((long) number("rules.stopSendingWithin", 0),
                 number("rules.coldFrom", 0), (long) number("rules.cold", 0), number("rules.tipMultiple", 0),
-                (long) number("rules.fall", 0), budget, number("rules.minExtra", 0), number("rules.resendRatio", 0),
+                (long) number("rules.fall", 0), hasBudget, number("rules.minExtra", 0), number("rules.resendRatio", 0),
                 (long) number("rules.lookBack", 0), (long) number("rules.answerSlack", 0),
                 (long) number("rules.askEvery", 0));
-        Aggregator.Allowed allowed = new Aggregator.Allowed((int) needed("allowed.mostTries"),
-                (int) needed("allowed.maxOpen"), flag("allowed.secondCopies"), flag("allowed.mayCancel"),
+        Aggregator.Allowed allowed = new Aggregator.Allowed((int) required("allowed.mostTries"),
+                (int) required("allowed.maxOpen"), flag("allowed.secondCopies"), flag("allowed.mayCancel"),
                 flag("allowed.probing"), flag("allowed.retryAfter"), (long) number("allowed.maxRetryAfter", 0));
         Aggregator.Prices prices = new Aggregator.Prices(number("charges.crossZone", 0), number("charges.handshake", 0),
                 number("charges.probe", 0));
         List<Aggregator.ReportField> fields = new ArrayList<>();
-        for (String name : values.getOrDefault("feedback.columns", "").split(",")) {
+        for (String name : valueByPath.getOrDefault("feedback.columns", "").split(",")) {
             if (!name.isBlank()) {
-                fields.add(field(name.trim()));
+                fields.add(reportField(name.trim()));
             }
         }
-        return new Aggregator.Settings((int) number("position", 0), (int) needed("instances"),
-                (int) number("zone", 0), "subscribe".equals(values.get("discovery")),
-                (int) needed("familyInfo.sets"), (int) needed("familyInfo.reach"), (int) needed("familyInfo.slices"),
-                (int) number("familyInfo.batch", 1), (long) number("familyInfo.perCallWork", 0),
-                "answers".equals(values.get("feedback.source")), number("overShareWorth", 1), List.copyOf(fields),
+        return new Aggregator.Settings((int) number("position", 0), (int) required("instances"),
+                (int) number("zone", 0), "subscribe".equals(valueByPath.get("discovery")),
+                (int) required("familyInfo.sets"), (int) required("familyInfo.reach"),
+                (int) required("familyInfo.slices"), (int) number("familyInfo.batch", 1),
+                (long) number("familyInfo.perCallWork", 0),
+                "answers".equals(valueByPath.get("feedback.source")), number("overShareWorth", 1), List.copyOf(fields),
                 List.copyOf(classes), List.copyOf(tenants), rules, allowed, prices,
                 flag("clientHabits.marksRetry"));
     }
 
-    private static Aggregator.ReportField field(String name) {
+    private static Aggregator.ReportField reportField(String name) {
         return switch (name) {
             case "active" -> Aggregator.ReportField.QUEUE;
             case "waiting" -> Aggregator.ReportField.WAITING;
@@ -86,54 +92,56 @@
     }
 
     private Aggregator.Effect effect(String path) {
-        String v = text(path);
-        return switch (v) {
+        String value = requiredText(path);
+        return switch (value) {
             case "retryable" -> Aggregator.Effect.SAFE;
             case "dedup" -> Aggregator.Effect.KEYED;
             case "fragile" -> Aggregator.Effect.UNSAFE;
-            default -> throw new InputFormatException("setting " + path + " has the unknown value " + v);
+            default -> throw new InputFormatException("setting " + path + " has the unknown value " + value);
         };
     }
 
-    private String text(String path) {
-        String v = values.get(path);
-        if (v == null) {
+    private String requiredText(String path) {
+        String value = valueByPath.get(path);
+        if (value == null) {
             throw new InputFormatException("setting " + path + " is missing");
         }
-        return v;
+        return value;
     }
 
-    private double needed(String path) {
-        return parse(path, text(path));
+    private double required(String path) {
+        return parseNumber(path, requiredText(path));
     }
 
-    private double number(String path, double absent) {
-        String v = values.get(path);
-        return v == null || v.isEmpty() ? absent : parse(path, v);
+    /** Returns the number at the path, or the default value if it is absent or empty. */
+    private double number(String path, double defaultValue) {
+        String value = valueByPath.get(path);
+        return value == null || value.isEmpty() ? defaultValue : parseNumber(path, value);
     }
 
-    private double item(String path, int index, double absent) {
-        String v = values.get(path);
-        if (v == null || v.isEmpty()) {
-            return absent;
+    /** Returns an item of the comma-separated list at the path, or the default value if the list has no such item. */
+    private double listItem(String path, int index, double defaultValue) {
+        String value = valueByPath.get(path);
+        if (value == null || value.isEmpty()) {
+            return defaultValue;
         }
-        String[] items = v.split(",");
-        return index < items.length ? parse(path, items[index].trim()) : absent;
+        String[] items = value.split(",");
+        return index < items.length ? parseNumber(path, items[index].trim()) : defaultValue;
     }
 
     private boolean flag(String path) {
-        return "true".equals(values.get(path));
+        return "true".equals(valueByPath.get(path));
     }
 
-    private static double parse(String path, String v) {
+    private static double parseNumber(String path, String value) {
         try {
-            double d = Double.parseDouble(v);
-            if (Double.isFinite(d)) {
-                return d;
+            double number = Double.parseDouble(value);
+            if (Double.isFinite(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new InputFormatException("setting " + path + " is not a number: " + v);
+        throw new InputFormatException("setting " + path + " is not a number: " + value);
     }
 }
--- a/coordinator/src/test/java/burlford/adapter/SimulatorCodecTest.java
+++ b/coordinator/src/test/java/burlford/adapter/SimulatorCodecTest.java
@@ -18,7 +18,10 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** The codec byte by byte, and what it says of malformed input. */
+/**
+ * Compares the codec's frames byte by byte with what the simulator sends and expects, and checks that malformed frames
+ * and settings are rejected with a message that names the fault.
+ */
 class SimulatorCodecTest {
 
     private static byte[] hex(String... parts) {
@@ -34,30 +37,31 @@
                 .putLong(7_000_000).putInt(records).putInt(3).put(body).array();
     }
 
-    private static SimulatorCodec.Batch read(int records, byte[] body) throws IOException {
+    private static SimulatorCodec.Batch readBatch(int records, byte[] body) throws IOException {
         return new SimulatorCodec().read(new ByteArrayInputStream(frame(records, body)));
     }
 
-    private static String bad(byte[] input) {
+    private static String rejection(byte[] input) {
         return assertThrows(InputFormatException.class, () -> new SimulatorCodec()
                 .read(new ByteArrayInputStream(input))).getMessage();
     }
 
-    private static final String ABOUT = "0b0200" + zeros(37);
+    /** A record that selects instance 2 for the records that follow. */
+    private static final String SELECT_2 = "0b0200" + zeros(37);
 
     @Test
-    void readsAQueryItsPartAndAnOutcome() throws IOException {
-        SimulatorCodec.Batch b = read(4, hex(ABOUT,
+    void readsQueryPartAndEndOfAttempt() throws IOException {
+        SimulatorCodec.Batch batch = readBatch(4, hex(SELECT_2,
                 "02 05000000 00004040 40420f00 01 00000000 02 000080bf 00001041 0900000000000000 0300", zeros(3),
                 "02 06000000 0000003f 40420f00 01 10270000 01 00000040 00001041 0800000000000000 0300", zeros(3),
                 "04 06000000 01 010203049005 6f00 10270000 01 01 0000a040", zeros(12), zeros(4)));
-        assertEquals(7_000_000, b.clock());
-        assertEquals(3, b.number());
+        assertEquals(7_000_000, batch.clock());
+        assertEquals(3, batch.number());
         assertEquals(new Aggregator.QueryArrived(5, 9, 1, 3, 1_000_000, 0, true, 9, 3),
-                ((SimulatorCodec.InstanceEvent) b.records().get(0)).event());
-        assertEquals(new Aggregator.PartArrived(6, 9, 2, 0.5, 10_000, 8), ((SimulatorCodec.InstanceEvent) b.records()
-                .get(1)).event());
-        Aggregator.AttemptEnded end = (Aggregator.AttemptEnded) ((SimulatorCodec.InstanceEvent) b.records().get(2))
+                ((SimulatorCodec.InstanceEvent) batch.records().get(0)).event());
+        assertEquals(new Aggregator.PartArrived(6, 9, 2, 0.5, 10_000, 8),
+                ((SimulatorCodec.InstanceEvent) batch.records().get(1)).event());
+        Aggregator.AttemptEnded end = (Aggregator.AttemptEnded) ((SimulatorCodec.InstanceEvent) batch.records().get(2))
                 .event();
         assertEquals(Aggregator.Outcome.NO_CONNECTION, end.outcome());
         assertEquals(0x0590_0403_0201L, end.replica());
@@ -66,13 +70,14 @@
     }
 
     @Test
-    void readsTheListThroughItsTable() throws IOException {
-        SimulatorCodec.Batch b = read(3, hex(ABOUT, "0a 02000000 00000000 01000000", zeros(27),
+    void readsListUpdateThroughItsTable() throws IOException {
+        SimulatorCodec.Batch batch = readBatch(3, hex(SELECT_2, "0a 02000000 00000000 01000000", zeros(27),
                 "01 05000000 02000000 01", zeros(30), "010203049005 01 0000 0400 02 0000803f 40420f0000000000"));
-        Aggregator.ListUpdate r = (Aggregator.ListUpdate) ((SimulatorCodec.InstanceEvent) b.records().get(0)).event();
-        assertEquals(Aggregator.ListKind.WHOLE, r.kind());
+        Aggregator.ListUpdate update =
+                (Aggregator.ListUpdate) ((SimulatorCodec.InstanceEvent) batch.records().get(0)).event();
+        assertEquals(Aggregator.ListKind.WHOLE, update.kind());
         assertEquals(new Aggregator.ListEntry(0x0590_0403_0201L, 1, 4, Aggregator.Status.DRAINING, 1, 1_000_000),
-                r.entries().get(0));
+                update.entries().get(0));
     }
 
     @Test
@@ -98,23 +103,24 @@
     }
 
     @Test
-    void endOfInputIsNoBatch() throws IOException {
+    void endOfInputGivesNoBatch() throws IOException {
         assertNull(new SimulatorCodec().read(new ByteArrayInputStream(new byte[0])));
     }
 
     @Test
-    void malformedFramesAreNamed() {
-        assertTrue(bad(new byte[7]).contains("truncated batch header"));
-        assertTrue(bad(java.util.Arrays.copyOf(frame(1, hex(ABOUT)), 40)).contains("truncated batch"));
-        assertTrue(bad(frame(2, hex(ABOUT))).contains("cannot hold 2 records"));
+    void malformedFramesAreRejectedWithTheReason() {
+        assertTrue(rejection(new byte[7]).contains("truncated batch header"));
+        assertTrue(rejection(java.util.Arrays.copyOf(frame(1, hex(SELECT_2)), 40)).contains("truncated batch"));
+        assertTrue(rejection(frame(2, hex(SELECT_2))).contains("cannot hold 2 records"));
         byte[] huge = frame(0, new byte[0]);
         huge[3] = (byte) 0xff;
-        assertTrue(bad(huge).contains("oversized"));
-        assertTrue(bad(frame(2, hex(ABOUT, "63", zeros(39)))).contains("unknown code 99"));
-        assertTrue(bad(frame(1, hex("05", zeros(39)))).contains("names no instance"));
-        assertTrue(bad(frame(1, hex("0a 02000000 00000000 01000000", zeros(27)))).contains("outside the tail"));
-        assertTrue(bad(frame(2, hex(ABOUT, "01 05000000 02000000 01", zeros(30)))).contains("never came"));
-        assertTrue(bad(frame(2, hex(ABOUT, "04 06000000 01 010203049005 0700", zeros(26)))).contains("outcome 7"));
+        assertTrue(rejection(huge).contains("oversized"));
+        assertTrue(rejection(frame(2, hex(SELECT_2, "63", zeros(39)))).contains("unknown code 99"));
+        assertTrue(rejection(frame(1, hex("05", zeros(39)))).contains("names no instance"));
+        assertTrue(rejection(frame(1, hex("0a 02000000 00000000 01000000", zeros(27)))).contains("outside the tail"));
+        assertTrue(rejection(frame(2, hex(SELECT_2, "01 05000000 02000000 01", zeros(30)))).contains("never came"));
+        assertTrue(rejection(frame(2, hex(SELECT_2, "04 06000000 01 010203049005 0700", zeros(26))))
+                .contains("outcome 7"));
     }
 
     private static final String SETTINGS = String.join("\n", "instances=2", "classes.count=1", "classes.0.target=1",
@@ -123,10 +129,11 @@
             "feedback.columns=active,zzz");
 
     @Test
-    void settingsSkipUnknownKeysAndNameMissingOnes() {
-        Aggregator.Settings s = SettingsParser.parse(SETTINGS);
-        assertEquals(Aggregator.Effect.UNSAFE, s.classes().get(0).effect());
-        assertEquals(java.util.List.of(Aggregator.ReportField.QUEUE, Aggregator.ReportField.OTHER), s.reportFields());
+    void settingsParserSkipsUnknownKeysAndNamesMissingOnes() {
+        Aggregator.Settings settings = SettingsParser.parse(SETTINGS);
+        assertEquals(Aggregator.Effect.UNSAFE, settings.classes().get(0).effect());
+        assertEquals(java.util.List.of(Aggregator.ReportField.QUEUE, Aggregator.ReportField.OTHER),
+                settings.reportFields());
         assertTrue(assertThrows(InputFormatException.class,
                 () -> SettingsParser.parse(SETTINGS.replace("familyInfo.reach=2\n", "")))
                 .getMessage().contains("familyInfo.reach is missing"));
@@ -137,15 +144,15 @@
     }
 
     @Test
-    void hostAnswersStartsAndRejectsEventsOfUnknownInstances() throws IOException {
+    void hostStartsInstancesAndRejectsEventsOfUnknownOnes() throws IOException {
         byte[] text = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ByteBuffer body = ByteBuffer.allocate(80 + text.length).order(ByteOrder.LITTLE_ENDIAN);
-        body.put(hex(ABOUT)).put((byte) 0).putLong(1).putInt(0).putInt(text.length).position(80);
+        body.put(hex(SELECT_2)).put((byte) 0).putLong(1).putInt(0).putInt(text.length).position(80);
         body.put(text);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorHost().run(new ByteArrayInputStream(frame(2, body.array())), out);
         assertEquals(3, out.toByteArray()[8]);
         assertThrows(InputFormatException.class, () -> new SimulatorHost().run(new ByteArrayInputStream(
-                frame(2, hex(ABOUT, "06", zeros(39)))), new ByteArrayOutputStream()));
+                frame(2, hex(SELECT_2, "06", zeros(39)))), new ByteArrayOutputStream()));
     }
 }
