--- a/coordinator/src/main/java/burlford/lanes/AtomicLongs.java
+++ b/coordinator/src/main/java/burlford/lanes/AtomicLongs.java
@@ -2,30 +2,30 @@
 
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** Numbers that lanes read and change, each step at once; what {@link Leases} is made of. */
+/** A fixed number of longs that lanes read and change atomically; {@link Leases} keeps its amounts in them. */
 public interface AtomicLongs {
 
-    /** Longs from one cell to the next. */
+    /** Array slots from one value to the next: 128 bytes, so that no two values share a cache line. */
     int STRIDE = 16;
 
-    long get(int cell);
+    long get(int index);
 
-    /** Sets a cell if it still holds what was expected; false, and nothing done, where it does not. */
-    boolean compareAndSet(int cell, long expected, long to);
+    /** Sets a value if it still equals the expected one; otherwise returns false and changes nothing. */
+    boolean compareAndSet(int index, long expected, long newValue);
 
-    /** Those of a running process. */
+    /** Returns values that are all 0, each on a cache line of its own. */
     static AtomicLongs padded(int count) {
-        // A line of the cache each: lanes that change their own cells must not wait for each other.
-        AtomicLongArray cells = new AtomicLongArray(count * STRIDE);
+        // Without padding, lanes that change different values would contend for the same cache line.
+        AtomicLongArray slots = new AtomicLongArray(count * STRIDE);
         return new AtomicLongs() {
             @Override
             public long get(int cell) {
-                return cells.get(cell * STRIDE);
+                return slots.get(cell * STRIDE);
             }
 
             @Override
             public boolean compareAndSet(int cell, long expected, long to) {
-                return cells.compareAndSet(cell * STRIDE, expected, to);
+                return slots.compareAndSet(cell * STRIDE, expected, to);
             }
         };
     }
--- a/coordinator/src/main/java/burlford/lanes/LaneShare.java
+++ b/coordinator/src/main/java/burlford/lanes/LaneShare.java
@@ -20,207 +20,217 @@
 import java.util.function.LongSupplier;
 
 /**
- * One lane's part in what the process holds together. What the lane has taken is noted here, so that it can all be
- * given back when the lane fails. Its {@link SharedState}, {@link ReaderConnectionLimits} and {@link ClientLimits} are
- * the lane's thread's; methods said to be so are for any thread.
+ * One lane's access to the {@link ProcessResources}. It records everything that the lane has acquired, so that all of
+ * it can be released when the lane fails. {@link SharedState}, {@link ReaderConnectionLimits} and {@link ClientLimits}
+ * are to be used on the lane's thread only; methods whose comment begins with "Any thread" are thread-safe. All times
+ * are microseconds.
  */
 public final class LaneShare implements SharedState {
 
-    /** Shorter than this a loop's being late is its ordinary work, not standing still (microseconds). */
+    /** A shorter heartbeat lag is the ordinary work of an event loop and no stall. */
     static final long STALL_THRESHOLD_US = 50_000;
 
-    private final ProcessResources ground;
+    private final ProcessResources resources;
     private final int lane;
-    private final Executor loop;
+    private final Executor eventLoop;
     private final LongSupplier clock;
     final PeerUpdateQueue peerUpdates = new PeerUpdateQueue();
-    private final ConcurrentLinkedQueue<Runnable> orders = new ConcurrentLinkedQueue<>();
-    private volatile long told;
-    private volatile long taken;
-    private boolean taking;
-    private volatile boolean givenUp;
-    private Runnable onGivenUp = () -> { };
-    private Runnable makeRoom = () -> { };
-    private Runnable onHeard = () -> { };
-
-    private List<PeerUpdate> said = new ArrayList<>();
-    private final Set<String> ids = new HashSet<>();
-    private final Set<String> asks = new HashSet<>();
-    private final Map<String, Integer> readers = new HashMap<>();
-    private volatile int used;
-    private long held;
-    private long number;
-    private long numbersEnd;
+    private final ConcurrentLinkedQueue<Runnable> broadcasts = new ConcurrentLinkedQueue<>();
+    private volatile long publishedGeneration;
+    private volatile long appliedGeneration;
+    private boolean applyingBroadcasts;
+    private volatile boolean fenced;
+    private Runnable onFenced = () -> { };
+    private Runnable evictLongestIdle = () -> { };
+    private Runnable onPeerProbeEnded = () -> { };
+
+    private List<PeerUpdate> pendingUpdates = new ArrayList<>();
+    private final Set<String> claimedIds = new HashSet<>();
+    private final Set<String> claimedProbes = new HashSet<>();
+    private final Map<String, Integer> connectionsByReader = new HashMap<>();
+    private volatile int openUnits;
+    private long heldRequestBytes;
+    private long lastQueryNumber;
+    private long queryNumberBlockEnd;
 
     private final AtomicInteger connections = new AtomicInteger();
     private volatile long longestIdleSince = Long.MAX_VALUE;
-    private volatile long askedAt;
-    private volatile long answeredAt;
+    private volatile long heartbeatSentAt;
+    private volatile long heartbeatAnsweredAt;
 
-    /** loop: runs what it is given on the lane's thread. clock: microseconds, the process's. */
-    public LaneShare(ProcessResources ground, int lane, Executor loop, LongSupplier clock) {
-        this.ground = ground;
+    /**
+     * Creates the share of one lane.
+     *
+     * @param eventLoop runs tasks on the lane's thread
+     * @param clock the process's clock, in microseconds
+     */
+    public LaneShare(ProcessResources resources, int lane, Executor eventLoop, LongSupplier clock) {
+        this.resources = resources;
         this.lane = lane;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.clock = clock;
     }
 
     /**
-     * From now on others are heard. onGivenUp: what to do should the lane find itself given up. makeRoom: closes the
-     * client connection that waits longest. onHeard: looks at what a probe that was waited for told.
+     * Connects the lane to the others: from now on it receives their peer updates.
+     *
+     * @param onFenced runs when the lane finds that it has been fenced
+     * @param evictLongestIdle closes the lane's client connection that has been idle longest
+     * @param onPeerProbeEnded runs when another lane's probe has ended, to process its result
      */
-    public void join(Runnable onGivenUp, Runnable makeRoom, Runnable onHeard) {
-        this.onGivenUp = onGivenUp;
-        this.makeRoom = makeRoom;
-        this.onHeard = onHeard;
-        ground.shares.add(this);
+    public void join(Runnable onFenced, Runnable evictLongestIdle, Runnable onPeerProbeEnded) {
+        this.onFenced = onFenced;
+        this.evictLongestIdle = evictLongestIdle;
+        this.onPeerProbeEnded = onPeerProbeEnded;
+        resources.shares.add(this);
     }
 
-    // ---- orders: what is told to all lanes
+    // ---- broadcasts to all lanes
 
-    /** Any one thread: adds an order; it counts from {@link #publishBroadcasts} on. */
-    public void stageBroadcast(Runnable order) {
-        orders.add(order);
+    /** Any thread, one at a time: queues an action that the lane runs once {@link #publishBroadcasts} was called. */
+    public void stageBroadcast(Runnable broadcast) {
+        broadcasts.add(broadcast);
     }
 
-    /** What was ordered counts from now on: before its next decision the lane takes it. */
+    /** Any thread, one at a time: publishes the staged actions; the lane runs them before its next decision. */
     public void publishBroadcasts(long generation) {
-        told = generation;
+        publishedGeneration = generation;
         post(this::applyBroadcasts);
     }
 
-    /** A lane that has ended meanwhile does nothing any more. */
+    /** Runs an action on the lane's thread; does nothing if the event loop has ended. */
     private void post(Runnable action) {
         try {
-            loop.execute(action);
+            eventLoop.execute(action);
         } catch (RejectedExecutionException e) {
-            // it has ended
+            // the event loop has ended
         }
     }
 
-    /** Any thread: the generation of what the lane has taken. */
+    /** Any thread: returns the generation of the broadcasts that the lane has applied. */
     public long appliedGeneration() {
-        return taken;
+        return appliedGeneration;
     }
 
-    /** Any thread: from now on the lane decides nothing and answers nothing but failure. */
+    /** Any thread: fences the lane. From now on it makes no decisions and answers only with failures. */
     public void fence() {
-        givenUp = true;
-        ground.probes.releaseAll(this); // nobody would be told of them
-        ground.queryCapacity.reclaim(lane);
-        ground.requestBytes.reclaim(lane);
+        fenced = true;
+        resources.probes.releaseAll(this); // their results would not reach any lane
+        resources.queryCapacity.reclaim(lane);
+        resources.requestBytes.reclaim(lane);
     }
 
+    /** Any thread: returns whether the lane has been fenced. */
     public boolean isFenced() {
-        return givenUp;
+        return fenced;
     }
 
     @Override
     public void applyBroadcasts() {
-        if (givenUp) {
-            onGivenUp.run();
+        if (fenced) {
+            onFenced.run();
             return;
         }
-        if (taking) {
-            return; // one order is over before the next begins
+        if (applyingBroadcasts) {
+            return; // a broadcast action called this method; the outer call applies the rest
         }
-        taking = true;
+        applyingBroadcasts = true;
         try {
-            while (taken != told) {
-                long upTo = told;
-                for (Runnable order = orders.poll(); order != null; order = orders.poll()) {
-                    order.run();
+            while (appliedGeneration != publishedGeneration) {
+                long generation = publishedGeneration;
+                for (Runnable broadcast = broadcasts.poll(); broadcast != null; broadcast = broadcasts.poll()) {
+                    broadcast.run();
                 }
-                taken = upTo;
+                appliedGeneration = generation;
             }
         } finally {
-            taking = false;
+            applyingBroadcasts = false;
         }
     }
 
-    // ---- rules of the process
+    // ---- ids, limits and probes of the process
 
     @Override
     public boolean claimId(String id) {
-        if (!ground.ids.claim(id, this)) {
+        if (!resources.ids.claim(id, this)) {
             return false;
         }
-        ids.add(id);
+        claimedIds.add(id);
         return true;
     }
 
     @Override
     public void releaseId(String id) {
-        if (ids.remove(id)) {
-            ground.ids.release(id, this);
+        if (claimedIds.remove(id)) {
+            resources.ids.release(id, this);
         }
     }
 
     @Override
-    public boolean tryAcquireCapacity(int units, int most) {
-        if (!ground.queryCapacity.tryAcquire(lane, units)) {
+    public boolean tryAcquireCapacity(int units, int limit) {
+        if (!resources.queryCapacity.tryAcquire(lane, units)) {
             return false;
         }
-        used = used + units;
+        openUnits = openUnits + units;
         return true;
     }
 
     @Override
     public void releaseCapacity(int units) {
-        used = used - units;
-        ground.queryCapacity.release(lane, units);
+        openUnits = openUnits - units;
+        resources.queryCapacity.release(lane, units);
     }
 
     @Override
     public long nextQueryNumber() {
-        if (number == numbersEnd) {
-            number = ground.nextQueryNumber.getAndAdd(ProcessResources.QUERY_NUMBER_BLOCK);
-            numbersEnd = number + ProcessResources.QUERY_NUMBER_BLOCK;
+        if (lastQueryNumber == queryNumberBlockEnd) {
+            lastQueryNumber = resources.nextQueryNumber.getAndAdd(ProcessResources.QUERY_NUMBER_BLOCK);
+            queryNumberBlockEnd = lastQueryNumber + ProcessResources.QUERY_NUMBER_BLOCK;
         }
-        return ++number;
+        return ++lastQueryNumber;
     }
 
     @Override
     public boolean claimProbe(String reader) {
-        if (asks.contains(reader) || !ground.probes.claim(reader, this)) {
+        if (claimedProbes.contains(reader) || !resources.probes.claim(reader, this)) {
             return false;
         }
-        asks.add(reader);
+        claimedProbes.add(reader);
         return true;
     }
 
-    // ---- what lanes tell each other
+    // ---- peer updates
 
     @Override
     public void notifySent(Send send, Part part, int queryClass, long at, long until) {
-        said.add(new PeerUpdate.AttemptSent(send, part, queryClass, at, until));
+        pendingUpdates.add(new PeerUpdate.AttemptSent(send, part, queryClass, at, until));
     }
 
     @Override
     public void notifyEnded(Send send, Outcome outcome, long at, long elapsed, double[] load) {
-        said.add(new PeerUpdate.AttemptEnded(send, outcome, at, elapsed, load));
+        pendingUpdates.add(new PeerUpdate.AttemptEnded(send, outcome, at, elapsed, load));
     }
 
     @Override
     public void notifyProbed(String reader, Outcome outcome, long at, long elapsed, double[] load) {
-        said.add(new PeerUpdate.ProbeEnded(reader, outcome, at, elapsed, load));
-        if (asks.remove(reader)) {
-            ground.probes.release(reader, this);
-            // Others may be waiting for it.
+        pendingUpdates.add(new PeerUpdate.ProbeEnded(reader, outcome, at, elapsed, load));
+        if (claimedProbes.remove(reader)) {
+            resources.probes.release(reader, this);
+            // Other lanes may be waiting for the result.
             flushPeerUpdates();
-            for (LaneShare other : ground.shares) {
+            for (LaneShare other : resources.shares) {
                 if (other != this) {
-                    other.post(other.onHeard);
+                    other.post(other.onPeerProbeEnded);
                 }
             }
         }
     }
 
-    /** At the end of each turn: what was said in it goes to the others. */
+    /** Sends the updates of this event-loop iteration to the other lanes; called at the end of each iteration. */
     public void flushPeerUpdates() {
-        if (!said.isEmpty()) {
-            ground.sendPeerUpdates(this, said);
-            said = new ArrayList<>();
+        if (!pendingUpdates.isEmpty()) {
+            resources.sendPeerUpdates(this, pendingUpdates);
+            pendingUpdates = new ArrayList<>();
         }
     }
 
@@ -229,83 +239,86 @@
         if (peerUpdates.isEmpty()) {
             return List.of();
         }
-        List<PeerUpdate> all = new ArrayList<>();
-        for (List<PeerUpdate> next = peerUpdates.poll(); next != null; next = peerUpdates.poll()) {
-            all.addAll(next);
+        List<PeerUpdate> updates = new ArrayList<>();
+        for (List<PeerUpdate> batch = peerUpdates.poll(); batch != null; batch = peerUpdates.poll()) {
+            updates.addAll(batch);
         }
         if (peerUpdates.lostSinceLastCheck()) {
-            all.add(0, new PeerUpdate.UpdatesLost());
+            updates.add(0, new PeerUpdate.UpdatesLost());
         }
-        return all;
+        return updates;
     }
 
-    /** Any thread: turns' worth of words that were dropped since the lane was too slow to hear them. */
+    /** Any thread: returns the batches of peer updates that were dropped because the lane polled too slowly. */
     public long droppedBatches() {
         return peerUpdates.droppedBatches();
     }
 
-    // ---- does it turn?
+    // ---- heartbeats
 
-    /** The supervisor's thread: asks the lane whether it turns; then is what the lane does on hearing it. */
-    public void sendHeartbeat(long now, Runnable then) {
-        askedAt = now;
+    /** Supervisor's thread only: posts a heartbeat to the event loop; the lane runs onAnswered after answering. */
+    public void sendHeartbeat(long now, Runnable onAnswered) {
+        heartbeatSentAt = now;
         post(() -> {
-            answeredAt = clock.getAsLong();
-            askedAt = 0;
-            then.run();
+            heartbeatAnsweredAt = clock.getAsLong();
+            heartbeatSentAt = 0;
+            onAnswered.run();
         });
     }
 
-    /** Any thread: when the lane answered last; 0: not yet. */
+    /** Any thread: returns the time at which the lane last answered a heartbeat; 0 if it has not yet. */
     public long heartbeatAnsweredAt() {
-        return answeredAt;
+        return heartbeatAnsweredAt;
     }
 
-    /** As measured from outside: while the loop stood still, so did every clock of its own. */
+    /** Measured from the supervisor's heartbeat, because time cached by the event loop also stops during a stall. */
     @Override
     public long stallUs() {
-        long asked = askedAt;
-        long silent = asked == 0 ? 0 : clock.getAsLong() - asked;
-        return silent < STALL_THRESHOLD_US ? 0 : silent;
+        long sentAt = heartbeatSentAt;
+        long unansweredUs = sentAt == 0 ? 0 : clock.getAsLong() - sentAt;
+        return unansweredUs < STALL_THRESHOLD_US ? 0 : unansweredUs;
     }
 
     // ---- connections
 
-    /** Any thread: a client's connection is on its way to this lane. */
+    /** Any thread: counts a client connection that was assigned to this lane but need not have reached it yet. */
     public void connectionPlaced() {
         connections.incrementAndGet();
-        ground.clientConnections.incrementAndGet();
+        resources.clientConnections.incrementAndGet();
     }
 
-    /** Any thread: one that was placed here is gone. */
+    /** Any thread: a client connection placed on this lane was closed. */
     public void connectionClosed() {
         connections.decrementAndGet();
-        ground.clientConnections.decrementAndGet();
+        resources.clientConnections.decrementAndGet();
     }
 
+    /** Any thread: returns the number of client connections placed on this lane. */
     public int connections() {
         return connections.get();
     }
 
-    /** Any thread: queries and parts open here. */
+    /** Any thread: returns the number of queries and parts open on this lane. */
     public int openUnits() {
-        return used;
+        return openUnits;
     }
 
-    /** Since when the connection here has waited that would go first to make room; Long.MAX_VALUE: none may go. */
+    /** Sets since when the lane's next connection to evict has been idle; Long.MAX_VALUE if none can be evicted. */
     public void longestIdleSince(long since) {
         longestIdleSince = since;
     }
 
+    /** Any thread: returns the time set by {@link #longestIdleSince(long)}. */
     long longestIdleSince() {
         return longestIdleSince;
     }
 
+    /** Returns the lane's view of the client limits. */
     public ClientLimits clientLimits() {
         return new ClientLimits() {
             @Override
             public void opened() {
-                // Counted when it was placed: until it is here it must not look as if there were room.
+                // Already counted when it was placed; otherwise connections in transfer would look like free capacity.
             }
 
             @Override
@@ -315,81 +328,82 @@
 
             @Override
             public int openCount() {
-                return ground.clientConnections.get();
+                return resources.clientConnections.get();
             }
 
             @Override
             public boolean mustEvictOwn() {
-                LaneShare longest = ground.laneWithLongestIdle();
+                LaneShare longest = resources.laneWithLongestIdle();
                 if (longest == null || longest == LaneShare.this) {
                     return true;
                 }
-                longest.post(longest.makeRoom);
+                longest.post(longest.evictLongestIdle);
                 return false;
             }
 
             @Override
             public boolean tryReserve(int bytes) {
-                if (!ground.requestBytes.tryAcquire(lane, bytes)) {
+                if (!resources.requestBytes.tryAcquire(lane, bytes)) {
                     return false;
                 }
-                held += bytes;
+                heldRequestBytes += bytes;
                 return true;
             }
 
             @Override
             public void release(int bytes) {
-                held -= bytes;
-                ground.requestBytes.release(lane, bytes);
+                heldRequestBytes -= bytes;
+                resources.requestBytes.release(lane, bytes);
             }
         };
     }
 
+    /** Returns the lane's view of the limits of connections to readers. */
     public ReaderConnectionLimits readerConnectionLimits() {
         return new ReaderConnectionLimits() {
             @Override
             public void opened(String reader) {
-                ground.readerConnections.incrementAndGet();
-                readers.merge(reader, 1, Integer::sum);
-                ground.connectionsByReader.merge(reader, 1, Integer::sum);
+                resources.readerConnections.incrementAndGet();
+                connectionsByReader.merge(reader, 1, Integer::sum);
+                resources.connectionsByReader.merge(reader, 1, Integer::sum);
             }
 
             @Override
             public void closed(String reader) {
-                ground.readerConnections.decrementAndGet();
-                readers.merge(reader, -1, Integer::sum);
-                ground.connectionsByReader.computeIfPresent(reader, (r, n) -> n == 1 ? null : n - 1);
+                resources.readerConnections.decrementAndGet();
+                connectionsByReader.merge(reader, -1, Integer::sum);
+                resources.connectionsByReader.computeIfPresent(reader, (r, n) -> n == 1 ? null : n - 1);
             }
 
             @Override
             public int openCount() {
-                return ground.readerConnections.get();
+                return resources.readerConnections.get();
             }
 
             @Override
             public boolean mayOpen(String reader, int own) {
-                return own == 0 || ground.connectionsByReader.getOrDefault(reader, 0)
-                        < ground.maxConnectionsPerReader();
+                return own == 0 || resources.connectionsByReader.getOrDefault(reader, 0)
+                        < resources.maxConnectionsPerReader();
             }
         };
     }
 
-    /** The lane has ended: all it took and did not give back is given back, and nobody tells it anything more. */
+    /** Releases everything that the lane still holds after it has ended, and disconnects it from the other lanes. */
     public void close() {
-        ground.shares.remove(this);
-        List.copyOf(ids).forEach(this::releaseId);
-        ground.probes.releaseAll(this);
-        asks.clear();
-        releaseCapacity(used);
-        ground.requestBytes.release(lane, held);
-        held = 0;
-        ReaderConnectionLimits census = readerConnectionLimits();
-        Map.copyOf(readers).forEach((reader, n) -> {
-            for (int i = 0; i < n; i++) {
-                census.closed(reader);
+        resources.shares.remove(this);
+        List.copyOf(claimedIds).forEach(this::releaseId);
+        resources.probes.releaseAll(this);
+        claimedProbes.clear();
+        releaseCapacity(openUnits);
+        resources.requestBytes.release(lane, heldRequestBytes);
+        heldRequestBytes = 0;
+        ReaderConnectionLimits limits = readerConnectionLimits();
+        Map.copyOf(connectionsByReader).forEach((reader, count) -> {
+            for (int i = 0; i < count; i++) {
+                limits.closed(reader);
             }
         });
-        ground.queryCapacity.reclaim(lane);
-        ground.requestBytes.reclaim(lane);
+        resources.queryCapacity.reclaim(lane);
+        resources.requestBytes.reclaim(lane);
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/Leases.java
+++ b/coordinator/src/main/java/burlford/lanes/Leases.java
@@ -1,116 +1,122 @@
 package burlford.lanes;
 
 /**
- * Something the process has so much of (room for open queries, bytes, connections), dealt out to its lanes in chunks
- * so that they seldom meet. What is neither in use nor held in store by a lane lies in the pool. A lane that needs
- * more than it has takes a chunk from the pool and, where that is empty, what other lanes hold unused: none is turned
- * away while another's share lies idle, but for the moment in which a third has it in hand.
+ * A process-wide limit (open queries and parts, bytes, connections) that is leased to the lanes in chunks, which keeps
+ * contention between lanes low. Each lane has a reserve of unused units; units that are neither in use nor in a reserve
+ * are in the pool. A lane that needs more than its reserve takes a chunk from the pool and, if the pool is empty, units
+ * from the reserves of other lanes. An acquisition therefore never fails while enough units are unused, except for the
+ * moment in which another thread is transferring them.
  *
- * <p>At every moment pool + stores + in use + in hand = total, each step takes before it gives, and nothing is taken
- * below nought, so what is in use never passes the total. After a cut of the total the pool is in debt; until it is
- * paid off by what comes back, nothing is given out.
+ * <p>At any time pool + reserves + in use + in transfer = total. Each step subtracts before it adds, and no amount
+ * is drawn below 0, so the units in use never exceed the total. The exception is a reduced total: the pool can then
+ * become negative, and nothing is granted until reclaimed and released units have brought it back to 0.
  */
 public final class Leases {
 
     private static final int POOL = 0;
-    /** A lane takes at once what would last it so many times over; it keeps at most twice as much unused. */
-    private static final int CHUNKS_EACH = 8;
+    /** A chunk is a lane's equal share of the total over this; a release cuts a reserve above two chunks to one. */
+    private static final int CHUNKS_PER_LANE = 8;
 
-    private final AtomicLongs cells;
+    private final AtomicLongs amounts;
     private final int lanes;
-    private volatile long chunk;
+    private volatile long chunkSize;
 
-    /** cells: all nought, one more than lanes. total: how much there is, at least 0. */
-    public Leases(AtomicLongs cells, int lanes, long total) {
-        this.cells = cells;
+    /**
+     * Creates leases with all units in the pool.
+     *
+     * @param amounts all 0; one for the pool and one per lane
+     * @param total units in all, at least 0
+     */
+    public Leases(AtomicLongs amounts, int lanes, long total) {
+        this.amounts = amounts;
         this.lanes = lanes;
-        chunk(total);
+        updateChunkSize(total);
         add(POOL, total);
     }
 
-    private void chunk(long total) {
-        chunk = Math.max(1, total / (CHUNKS_EACH * (long) lanes));
+    private void updateChunkSize(long total) {
+        chunkSize = Math.max(1, total / (CHUNKS_PER_LANE * (long) lanes));
     }
 
-    /** Takes so much for a lane, all or nothing. */
+    /** Acquires an amount for a lane: all of it (true) or nothing (false). */
     public boolean tryAcquire(int lane, long amount) {
-        if (cells.get(POOL) < 0) {
+        if (amounts.get(POOL) < 0) {
             reclaim(lane);
-        } else if (takeUpTo(store(lane), amount, amount) == amount) {
+        } else if (takeUpTo(reserveIndex(lane), amount, amount) == amount) {
             return true;
         }
-        long inHand = takeUpTo(POOL, 1, amount + chunk);
-        for (int i = 0; inHand < amount && i < lanes && cells.get(POOL) >= 0; i++) {
-            // Its own first: an earlier share of it may still lie there.
-            inHand += takeUpTo(store((lane + i) % lanes), 1, amount - inHand);
+        long acquired = takeUpTo(POOL, 1, amount + chunkSize);
+        for (int i = 0; acquired < amount && i < lanes && amounts.get(POOL) >= 0; i++) {
+            // Starts with the lane's own reserve, which may hold less than the amount.
+            acquired += takeUpTo(reserveIndex((lane + i) % lanes), 1, amount - acquired);
         }
-        boolean enough = inHand >= amount;
-        long rest = enough ? inHand - amount : inHand;
-        add(enough && rest <= 2 * chunk ? store(lane) : POOL, rest);
+        boolean enough = acquired >= amount;
+        long remainder = enough ? acquired - amount : acquired;
+        add(enough && remainder <= 2 * chunkSize ? reserveIndex(lane) : POOL, remainder);
         return enough;
     }
 
-    /** Gives back what a lane took and no longer uses. */
+    /** Returns an amount that a lane acquired and no longer uses. */
     public void release(int lane, long amount) {
-        if (cells.get(POOL) < 0) {
+        if (amounts.get(POOL) < 0) {
             add(POOL, amount);
             return;
         }
-        add(store(lane), amount);
-        long over = cells.get(store(lane)) - 2 * chunk;
-        if (over > 0) {
-            add(POOL, takeUpTo(store(lane), 1, over + chunk));
+        add(reserveIndex(lane), amount);
+        long excess = amounts.get(reserveIndex(lane)) - 2 * chunkSize;
+        if (excess > 0) {
+            add(POOL, takeUpTo(reserveIndex(lane), 1, excess + chunkSize));
         }
     }
 
-    /** What a lane holds unused goes back to the pool; any thread may say so, whatever the lane does meanwhile. */
+    /** Moves a lane's reserve back to the pool. Any thread may call this, even while the lane acquires or releases. */
     public void reclaim(int lane) {
-        add(POOL, takeUpTo(store(lane), 1, Long.MAX_VALUE));
+        add(POOL, takeUpTo(reserveIndex(lane), 1, Long.MAX_VALUE));
     }
 
-    /** From now on there is so much more, or less. What is in use stays in use. One thread calls it. */
-    public void resize(long from, long to) {
-        add(POOL, to - from);
-        chunk(to);
-        for (int lane = 0; lane < lanes && to < from; lane++) {
+    /** Changes the total. Units in use stay in use. Only one thread may call this. */
+    public void resize(long oldTotal, long newTotal) {
+        add(POOL, newTotal - oldTotal);
+        updateChunkSize(newTotal);
+        for (int lane = 0; lane < lanes && newTotal < oldTotal; lane++) {
             reclaim(lane);
         }
     }
 
-    /** What is in nobody's use; exact while no lane is in the middle of a step. */
+    /** Returns the units not in use; exact only while no lane acquires or releases. Negative after a reduced total. */
     public long unused() {
         long sum = 0;
-        for (int cell = 0; cell <= lanes; cell++) {
-            sum += cells.get(cell);
+        for (int index = 0; index <= lanes; index++) {
+            sum += amounts.get(index);
         }
         return sum;
     }
 
-    private static int store(int lane) {
+    private static int reserveIndex(int lane) {
         return 1 + lane;
     }
 
-    /** Takes between least and most from a cell, as much as it has; 0 where it has less than least. */
-    private long takeUpTo(int cell, long least, long most) {
+    /** Takes up to max units from one amount; takes nothing and returns 0 if it holds fewer than min. */
+    private long takeUpTo(int index, long min, long max) {
         while (true) {
-            long held = cells.get(cell);
-            long taken = Math.min(held, most);
-            if (taken < least || taken <= 0) {
+            long held = amounts.get(index);
+            long taken = Math.min(held, max);
+            if (taken < min || taken <= 0) {
                 return 0;
             }
-            if (cells.compareAndSet(cell, held, held - taken)) {
+            if (amounts.compareAndSet(index, held, held - taken)) {
                 return taken;
             }
         }
     }
 
-    private void add(int cell, long amount) {
+    private void add(int index, long amount) {
         if (amount == 0) {
             return;
         }
         long held;
         do {
-            held = cells.get(cell);
-        } while (!cells.compareAndSet(cell, held, held + amount));
+            held = amounts.get(index);
+        } while (!amounts.compareAndSet(index, held, held + amount));
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/OpenIds.java
+++ b/coordinator/src/main/java/burlford/lanes/OpenIds.java
@@ -2,22 +2,23 @@
 
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The ids of the queries open in the process, each with the lane that has it. Any lane may ask, each at once. */
+/** The ids of the queries open in the process, each with the lane that holds it. Thread-safe. */
 public final class OpenIds {
 
-    private final ConcurrentHashMap<String, Object> held = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<String, Object> laneById = new ConcurrentHashMap<>();
 
-    /** Takes an id for a lane; false where it is open already, on whatever lane. */
+    /** Claims an id for a lane; false if a query with this id is already open on any lane. */
     public boolean claim(String id, Object lane) {
-        return held.putIfAbsent(id, lane) == null;
+        return laneById.putIfAbsent(id, lane) == null;
     }
 
-    /** The lane that claimed it says that its query is answered. */
+    /** Releases an id after its query has ended; no effect unless this lane holds the id. */
     public void release(String id, Object lane) {
-        held.remove(id, lane);
+        laneById.remove(id, lane);
     }
 
+    /** Returns the number of open ids. */
     public int size() {
-        return held.size();
+        return laneById.size();
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/PeerUpdateQueue.java
+++ b/coordinator/src/main/java/burlford/lanes/PeerUpdateQueue.java
@@ -6,28 +6,28 @@
 import org.jctools.queues.MpmcArrayQueue;
 
 /**
- * What the other lanes tell one lane: bounded, and full it drops the oldest, for what is new makes it worthless. Any
- * lane may offer; one takes.
+ * Bounded queue of the peer updates for one lane. When full, it drops the oldest batch, because newer updates supersede
+ * older ones. Any lane may offer; only the receiving lane polls.
  */
 final class PeerUpdateQueue {
 
-    /** Turns' worth of words: at a turn each millisecond, what three others say in a fifth of a second. */
+    /** In batches, one per event-loop iteration: about 0.2 s of three peers that iterate once per millisecond. */
     static final int CAPACITY = 512;
 
     private final MpmcArrayQueue<List<PeerUpdate>> queue = new MpmcArrayQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     private long reportedDropped;
 
-    /** All of one turn of one lane. */
-    void offer(List<PeerUpdate> words) {
-        while (!queue.offer(words)) {
+    /** Adds the updates of one event-loop iteration of one lane. */
+    void offer(List<PeerUpdate> updates) {
+        while (!queue.offer(updates)) {
             if (queue.poll() != null) {
                 dropped.incrementAndGet();
             }
         }
     }
 
-    /** null: nothing more. */
+    /** Returns the next batch; null if the queue is empty. */
     List<PeerUpdate> poll() {
         return queue.poll();
     }
@@ -36,7 +36,7 @@
         return queue.isEmpty();
     }
 
-    /** Some were dropped since this was last asked; the taker asks. */
+    /** Returns whether batches were dropped since the last call. Only the receiving lane calls this. */
     boolean lostSinceLastCheck() {
         long now = dropped.get();
         boolean lost = now != reportedDropped;
@@ -44,6 +44,7 @@
         return lost;
     }
 
+    /** Returns the number of batches dropped so far. */
     long droppedBatches() {
         return dropped.get();
     }
--- a/coordinator/src/main/java/burlford/lanes/Placement.java
+++ b/coordinator/src/main/java/burlford/lanes/Placement.java
@@ -6,113 +6,124 @@
 import java.util.SplittableRandom;
 
 /**
- * Which lane gets a new connection, and which connections leave a lane that is behind. A connection goes to the lane
- * with the fewest open queries, then the fewest connections; ties are broken by a seeded draw. A lane is behind once
- * it had far more open queries than the mean, or was far later with its turns, at several looks in a row; it then
- * gives a part of its connections to the lane that had least, and both are left alone for a while. Pure: it is told
- * what it goes by, and the time.
+ * Decides which lane gets a new client connection and how many connections move away from an overloaded lane. A new
+ * connection goes to the lane with the fewest open queries and parts, then to the one with the fewest connections; a
+ * seeded random choice breaks ties. A lane is overloaded if, at several checks in a row, it had far more open queries
+ * and parts than the mean or far more lag than the lane with the least. It then gives a fraction of its connections to
+ * the lane with the fewest open queries and parts that is neither above the thresholds nor in its cooldown; a cooldown
+ * begins for both lanes. Pure: the caller supplies the loads and the time. All times are microseconds.
  */
 public final class Placement {
 
-    /** Looks in a row before a lane counts as behind, and for how long a move is left to show what it did. */
+    /** Consecutive checks above the thresholds after which a lane counts as overloaded. */
     static final int CHECKS_UNTIL_OVERLOADED = 4;
+    /** Time after a move in which neither lane takes part in another, so that its effect shows first. */
     static final long MOVE_COOLDOWN_US = 2_000_000;
-    /** Behind: so many times the mean of open queries and so many more, or so much later (microseconds). */
-    private static final double FAR = 1.5;
-    private static final double FAR_MORE = 4;
-    private static final double LATE = 20_000;
-    /** The weight of a new look in what is held of a lane. */
-    private static final double NEWEST = 0.3;
-    /** The part of the surplus of connections that one move takes: what it does is seen before the next. */
-    private static final double PART = 0.5;
+    /** Thresholds: OVERLOAD_FACTOR times the mean of open units, or the least lag, plus the respective margin. */
+    private static final double OVERLOAD_FACTOR = 1.5;
+    private static final double OVERLOAD_MARGIN_UNITS = 4;
+    private static final double OVERLOAD_LAG_MARGIN_US = 20_000;
+    /** Weight of a new sample in the moving averages of open units and lag. */
+    private static final double SMOOTHING_WEIGHT = 0.3;
+    /** Fraction of the surplus connections that one move takes; its effect is observed before the next move. */
+    private static final double MOVED_FRACTION = 0.5;
 
-    /** A lane as last seen. lag: microseconds from when it was told something until it heard. */
-    public record LaneLoad(int lane, boolean serving, long openUnits, long connections, long lag) { }
+    /** A lane's load: its open queries and parts, its client connections, and its heartbeat lag in microseconds. */
+    public record LaneLoad(int lane, boolean serving, long openUnits, long connections, long lagUs) { }
 
-    /** So many connections that are between requests are to go from one lane to another. */
+    /** A number of connections without an open request that are to move from one lane to another. */
     public record Move(int from, int to, int connections) { }
 
     private final SplittableRandom random;
-    private final double[] open;
-    private final double[] lag;
-    private final int[] behind;
-    private final long[] leftAloneUntil;
+    private final double[] smoothedOpen;
+    private final double[] smoothedLagUs;
+    private final int[] overloadedChecks;
+    private final long[] cooldownUntil;
 
     public Placement(int lanes, long seed) {
         random = new SplittableRandom(seed);
-        open = new double[lanes];
-        lag = new double[lanes];
-        behind = new int[lanes];
-        leftAloneUntil = new long[lanes];
-        Arrays.fill(leftAloneUntil, Long.MIN_VALUE);
+        smoothedOpen = new double[lanes];
+        smoothedLagUs = new double[lanes];
+        overloadedChecks = new int[lanes];
+        cooldownUntil = new long[lanes];
+        Arrays.fill(cooldownUntil, Long.MIN_VALUE);
     }
 
-    /** The lane for a new connection; -1 where none serves. */
+    /** Returns the lane for a new connection; -1 if no lane is serving. */
     public int place(List<LaneLoad> lanes) {
         LaneLoad best = null;
         int ties = 0;
-        for (LaneLoad v : lanes) {
-            if (!v.serving()) {
+        for (LaneLoad load : lanes) {
+            if (!load.serving()) {
                 continue;
             }
-            int order = best == null ? -1 : v.openUnits() != best.openUnits() ? Long.compare(v.openUnits(),
-                    best.openUnits()) : Long.compare(v.connections(), best.connections());
-            ties = order < 0 ? 1 : order == 0 ? ties + 1 : ties;
-            if (order < 0 || order == 0 && random.nextInt(ties) == 0) {
-                best = v;
+            int comparison = best == null ? -1 : load.openUnits() != best.openUnits() ? Long.compare(load.openUnits(),
+                    best.openUnits()) : Long.compare(load.connections(), best.connections());
+            ties = comparison < 0 ? 1 : comparison == 0 ? ties + 1 : ties;
+            if (comparison < 0 || comparison == 0 && random.nextInt(ties) == 0) {
+                best = load;
             }
         }
         return best == null ? -1 : best.lane();
     }
 
-    /** Forgets what was seen of a lane: it was started anew. */
+    /** Clears the history of a lane that has been restarted. */
     public void reset(int lane) {
-        open[lane] = 0;
-        lag[lane] = 0;
-        behind[lane] = 0;
-        leftAloneUntil[lane] = Long.MIN_VALUE;
+        smoothedOpen[lane] = 0;
+        smoothedLagUs[lane] = 0;
+        overloadedChecks[lane] = 0;
+        cooldownUntil[lane] = Long.MIN_VALUE;
     }
 
-    /** A look at all lanes, at even intervals; says what is to move, at most once for each lane. */
+    /**
+     * Checks all lanes and returns the moves to make; a lane takes part in at most one of them. To be called at regular
+     * intervals.
+     */
     public List<Move> rebalance(long now, List<LaneLoad> lanes) {
         List<LaneLoad> serving = lanes.stream().filter(LaneLoad::serving).toList();
-        for (LaneLoad v : serving) {
-            open[v.lane()] += NEWEST * (v.openUnits() - open[v.lane()]);
-            lag[v.lane()] += NEWEST * (v.lag() - lag[v.lane()]);
+        for (LaneLoad load : serving) {
+            smoothedOpen[load.lane()] += SMOOTHING_WEIGHT * (load.openUnits() - smoothedOpen[load.lane()]);
+            smoothedLagUs[load.lane()] += SMOOTHING_WEIGHT * (load.lagUs() - smoothedLagUs[load.lane()]);
         }
-        double meanOpen = serving.stream().mapToDouble(v -> open[v.lane()]).average().orElse(0);
-        double leastLag = serving.stream().mapToDouble(v -> lag[v.lane()]).min().orElse(0);
+        double meanOpen = serving.stream().mapToDouble(load -> smoothedOpen[load.lane()]).average().orElse(0);
+        double minLag = serving.stream().mapToDouble(load -> smoothedLagUs[load.lane()]).min().orElse(0);
         List<Move> moves = new ArrayList<>();
-        for (LaneLoad v : serving) {
-            int lane = v.lane();
-            boolean far = open[lane] > FAR * meanOpen + FAR_MORE || lag[lane] > FAR * leastLag + LATE;
-            behind[lane] = far ? behind[lane] + 1 : 0;
-            if (behind[lane] < CHECKS_UNTIL_OVERLOADED || now < leftAloneUntil[lane]) {
+        for (LaneLoad load : serving) {
+            int lane = load.lane();
+            boolean overloaded = smoothedOpen[lane] > OVERLOAD_FACTOR * meanOpen + OVERLOAD_MARGIN_UNITS
+                    || smoothedLagUs[lane] > OVERLOAD_FACTOR * minLag + OVERLOAD_LAG_MARGIN_US;
+            overloadedChecks[lane] = overloaded ? overloadedChecks[lane] + 1 : 0;
+            if (overloadedChecks[lane] < CHECKS_UNTIL_OVERLOADED || now < cooldownUntil[lane]) {
                 continue;
             }
-            LaneLoad least = null;
+            LaneLoad target = null;
             for (LaneLoad other : serving) {
-                boolean fit = other != v && behind[other.lane()] == 0 && now >= leftAloneUntil[other.lane()];
-                if (fit && (least == null || open[other.lane()] < open[least.lane()])) {
-                    least = other;
+                boolean eligible = other != load && overloadedChecks[other.lane()] == 0
+                        && now >= cooldownUntil[other.lane()];
+                if (eligible && (target == null || smoothedOpen[other.lane()] < smoothedOpen[target.lane()])) {
+                    target = other;
                 }
             }
-            int count = least == null ? 0 : surplus(v, least);
+            int count = target == null ? 0 : connectionsToMove(load, target);
             if (count > 0) {
-                moves.add(new Move(lane, least.lane(), count));
-                for (int moved : new int[] {lane, least.lane()}) {
-                    leftAloneUntil[moved] = now + MOVE_COOLDOWN_US;
-                    behind[moved] = 0;
+                moves.add(new Move(lane, target.lane(), count));
+                for (int affected : new int[] {lane, target.lane()}) {
+                    cooldownUntil[affected] = now + MOVE_COOLDOWN_US;
+                    overloadedChecks[affected] = 0;
                 }
             }
         }
         return moves;
     }
 
-    /** Connections differ in what they ask, so what moves is a share of them by the open queries they stand for. */
-    private int surplus(LaneLoad from, LaneLoad to) {
-        double gap = open[from.lane()] - open[to.lane()];
-        double share = open[from.lane()] > 0 && gap > 0 ? gap / 2 / open[from.lane()] : 0.25;
-        return from.connections() < 2 ? 0 : (int) Math.max(1, Math.floor(PART * share * from.connections()));
+    /**
+     * Returns how many connections to move. Connections cause different amounts of work, so the number follows from the
+     * lanes' open units: MOVED_FRACTION of the share that would equalize both lanes, or of a quarter of the connections
+     * if the overloaded lane has no more open units than the other.
+     */
+    private int connectionsToMove(LaneLoad from, LaneLoad to) {
+        double gap = smoothedOpen[from.lane()] - smoothedOpen[to.lane()];
+        double share = smoothedOpen[from.lane()] > 0 && gap > 0 ? gap / 2 / smoothedOpen[from.lane()] : 0.25;
+        return from.connections() < 2 ? 0 : (int) Math.max(1, Math.floor(MOVED_FRACTION * share * from.connections()));
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/ProbeGate.java
+++ b/coordinator/src/main/java/burlford/lanes/ProbeGate.java
@@ -2,22 +2,26 @@
 
 import java.util.concurrent.ConcurrentHashMap;
 
-/** One probe out to one reader, whichever lane asks. Any lane may call. */
+/** Limits the process to one probe in flight per reader. Thread-safe. */
 public final class ProbeGate {
 
-    private final ConcurrentHashMap<String, Object> out = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<String, Object> inFlight = new ConcurrentHashMap<>();
 
-    /** False: another lane's question is out, and what comes of it will be told to all. */
+    /**
+     * Claims the probe to a reader for a lane. False if a probe is already in flight; the lane that sent it notifies
+     * all lanes of its result.
+     */
     public boolean claim(String reader, Object lane) {
-        return out.putIfAbsent(reader, lane) == null;
+        return inFlight.putIfAbsent(reader, lane) == null;
     }
 
+    /** Ends a lane's claim after its probe has ended. */
     public void release(String reader, Object lane) {
-        out.remove(reader, lane);
+        inFlight.remove(reader, lane);
     }
 
-    /** A lane ended: what it asked is not answered any more. */
+    /** Ends all claims of a lane that has ended or been fenced, since its probes will not be reported any more. */
     public void releaseAll(Object lane) {
-        out.values().removeIf(l -> l == lane);
+        inFlight.values().removeIf(holder -> holder == lane);
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/ProcessResources.java
+++ b/coordinator/src/main/java/burlford/lanes/ProcessResources.java
@@ -8,13 +8,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the lanes of a process hold together: its limits, the ids and probes that are out, and each other's words. */
+/**
+ * State shared by the lanes of a process: limits, open query ids, probes in flight, connections, and the delivery of
+ * peer updates.
+ */
 public final class ProcessResources {
 
-    /** Query numbers are handed out so many at once. */
+    /** Query numbers that a lane reserves at once. */
     static final int QUERY_NUMBER_BLOCK = 1024;
-    /** Of sixteen descriptors five may be connections to readers. */
-    private static final int READERS_OF_16 = 5;
+    /** Connections to readers may use 5/16 of the file descriptors. */
+    private static final int READER_CONNECTION_SIXTEENTHS = 5;
 
     final int lanes;
     final Leases queryCapacity;
@@ -27,73 +30,83 @@
     final AtomicLong nextQueryNumber = new AtomicLong();
     final List<LaneShare> shares = new CopyOnWriteArrayList<>();
     private long maxOpen;
-    private volatile int descriptors;
-    private volatile int readers = 1;
+    private volatile int maxDescriptors;
+    private volatile int readerCount = 1;
 
-    /** maxOpen: queries and parts. bytes: of requests held. One share beyond the lanes is the accepting loop's. */
-    public ProcessResources(int lanes, int maxOpen, long bytes, int descriptors) {
+    /**
+     * Creates the shared state. The leases have one share more than there are lanes, for the event loop that accepts
+     * connections.
+     *
+     * @param maxOpen limit of open queries and parts together
+     * @param maxRequestBytes limit of the bytes of requests held in memory
+     * @param maxDescriptors limit of open file descriptors
+     */
+    public ProcessResources(int lanes, int maxOpen, long maxRequestBytes, int maxDescriptors) {
         this.lanes = lanes;
         this.maxOpen = maxOpen;
-        this.descriptors = descriptors;
+        this.maxDescriptors = maxDescriptors;
         this.queryCapacity = new Leases(AtomicLongs.padded(lanes + 2), lanes + 1, maxOpen);
-        this.requestBytes = new Leases(AtomicLongs.padded(lanes + 2), lanes + 1, bytes);
+        this.requestBytes = new Leases(AtomicLongs.padded(lanes + 2), lanes + 1, maxRequestBytes);
     }
 
-    /** New settings. One thread calls it. */
-    public void resize(int toMaxOpen, int toDescriptors) {
-        queryCapacity.resize(maxOpen, toMaxOpen);
-        maxOpen = toMaxOpen;
-        descriptors = toDescriptors;
+    /** Applies new limits. Only one thread may call this. */
+    public void resize(int newMaxOpen, int newMaxDescriptors) {
+        queryCapacity.resize(maxOpen, newMaxOpen);
+        maxOpen = newMaxOpen;
+        maxDescriptors = newMaxDescriptors;
     }
 
-    /** How many readers the list has. */
+    /** Sets the number of readers in the reader list. */
     public void setReaderCount(int count) {
-        readers = Math.max(1, count);
+        readerCount = Math.max(1, count);
     }
 
-    /** Connections that the process may have to one reader; each lane may have one whatever it is. */
+    /** Limit of the connections to one reader; a lane without a connection to it may open one regardless. */
     int maxConnectionsPerReader() {
-        return Math.max(lanes, descriptors * READERS_OF_16 / 16 / readers);
+        return Math.max(lanes, maxDescriptors * READER_CONNECTION_SIXTEENTHS / 16 / readerCount);
     }
 
-    /** Client connections of the process. */
+    /** Returns the number of client connections of the process. */
     public int clientConnections() {
         return clientConnections.get();
     }
 
-    /** Ids of queries that are open on any lane. */
+    /** Returns the number of query ids that are open on any lane. */
     public int openIds() {
         return ids.size();
     }
 
-    /** Queries and parts that more could be taken of; exact while no lane takes or gives. */
+    /** Returns how many more queries and parts could be admitted; exact only while no lane acquires or releases. */
     public long freeQueryCapacity() {
         return queryCapacity.unused();
     }
 
+    /** Returns the request bytes not in use; exact only while no lane acquires or releases. */
     public long freeRequestBytes() {
         return requestBytes.unused();
     }
 
+    /** Returns the number of connections to readers that the process has open. */
     public int readerConnections() {
         return readerConnections.get();
     }
 
-    void sendPeerUpdates(LaneShare from, List<PeerUpdate> words) {
+    /** Queues a batch of peer updates at every other lane. */
+    void sendPeerUpdates(LaneShare from, List<PeerUpdate> updates) {
         for (LaneShare other : shares) {
             if (other != from) {
-                other.peerUpdates.offer(words);
+                other.peerUpdates.offer(updates);
             }
         }
     }
 
-    /** The lane with the connection that waits longest; null where none has one that may go. */
+    /** Returns the lane whose client connection has been idle longest; null if no connection can be evicted. */
     LaneShare laneWithLongestIdle() {
         LaneShare longest = null;
-        for (LaneShare s : shares) {
-            if (s.longestIdleSince() != Long.MAX_VALUE
-                    && (longest == null || s.longestIdleSince() < longest.longestIdleSince())) {
-                longest = s;
+        for (LaneShare share : shares) {
+            if (share.longestIdleSince() != Long.MAX_VALUE
+                    && (longest == null || share.longestIdleSince() < longest.longestIdleSince())) {
+                longest = share;
             }
         }
         return longest;
--- a/coordinator/src/main/java/burlford/lanes/Supervision.java
+++ b/coordinator/src/main/java/burlford/lanes/Supervision.java
@@ -3,37 +3,39 @@
 import java.util.Arrays;
 
 /**
- * Which lanes are fit to serve, by the answers to what they are asked now and then: have you turned? A lane that has
- * not answered for a while stands still and gets no new connections; it does once it has answered again for a while.
- * One that stands still for long is given up: another is started in its place, and it may serve nothing any more,
- * should it wake. Pure: it is told what happened, and when.
+ * Decides by heartbeats which lanes are fit to serve. A lane that leaves a heartbeat unanswered for a while is stalled
+ * and gets no new connections until it has answered in time for a recovery period. A lane that stays silent for much
+ * longer is to be fenced: it may serve nothing more, should it resume, and a replacement is started. Pure: the caller
+ * supplies the events and their times. All times are microseconds.
  */
 public final class Supervision {
 
-    /** Microseconds without an answer after which a lane stands still, and after which it is given up. */
+    /** A lane whose heartbeat is unanswered for this long is stalled. */
     public static final long STALLED_AFTER_US = 200_000;
+    /** A lane whose heartbeat is unanswered for this long is dead and to be fenced. */
     public static final long FENCED_AFTER_US = 10_000_000;
-    /** For so long a lane that stood still has to answer in time before it gets connections again. */
+    /** A stalled lane has to answer in time for this long before it serves again. */
     public static final long RECOVERY_PERIOD_US = 500_000;
 
-    /** A lane that dies sooner than this after one that died is started later, up to the longest wait. */
+    /** A replacement lane that dies within this time of its start is itself restarted after a growing delay. */
     static final long STABLE_UPTIME_US = 30_000_000;
     static final long MIN_RESTART_DELAY_US = 100_000;
     static final long MAX_RESTART_DELAY_US = 5_000_000;
 
-    /** STARTING: not heard of yet. */
+    /** State of a lane; STARTING until its first heartbeat is answered. */
     public enum State { STARTING, SERVING, STALLED, DEAD }
 
+    /** The heartbeat and restart history of one lane. */
     private static final class LaneHealth {
         State state = State.STARTING;
-        long askedAt;
-        boolean asked;
-        long lag;
-        long lateAt = Long.MIN_VALUE / 2;
+        long heartbeatSentAt;
+        boolean heartbeatPending;
+        long lagUs;
+        long lastLateAt = Long.MIN_VALUE / 2;
         long startedAt;
-        boolean diedBefore;
-        long wait;
-        long startAgainAt;
+        boolean replacesDeadLane;
+        long restartDelayUs;
+        long restartAt;
     }
 
     private final LaneHealth[] lanes;
@@ -43,81 +45,84 @@
         Arrays.setAll(lanes, i -> new LaneHealth());
     }
 
-    /** A lane was started, or started anew. */
+    /** The lane was started or restarted; its first heartbeat counts as sent. */
     public void started(int lane, long now) {
-        LaneHealth s = new LaneHealth();
-        s.diedBefore = lanes[lane].state == State.DEAD;
-        s.wait = lanes[lane].wait;
-        s.startedAt = now;
-        lanes[lane] = s;
-        asked(lane, now);
+        LaneHealth health = new LaneHealth();
+        health.replacesDeadLane = lanes[lane].state == State.DEAD;
+        health.restartDelayUs = lanes[lane].restartDelayUs;
+        health.startedAt = now;
+        lanes[lane] = health;
+        noteHeartbeatSent(lane, now);
     }
 
-    /** The lane was asked; true where it is to be asked, since it has answered what it was asked before. */
+    /** Notes a heartbeat as sent and returns true; returns false if one is still unanswered or the lane is dead. */
     public boolean startHeartbeat(int lane, long now) {
-        if (lanes[lane].asked || lanes[lane].state == State.DEAD) {
+        if (lanes[lane].heartbeatPending || lanes[lane].state == State.DEAD) {
             return false;
         }
-        asked(lane, now);
+        noteHeartbeatSent(lane, now);
         return true;
     }
 
-    private void asked(int lane, long now) {
-        lanes[lane].asked = true;
-        lanes[lane].askedAt = now;
+    private void noteHeartbeatSent(int lane, long now) {
+        lanes[lane].heartbeatPending = true;
+        lanes[lane].heartbeatSentAt = now;
     }
 
-    /** The lane answered, at that time. */
+    /** The lane answered its heartbeat at the given time. */
     public void heartbeatAnswered(int lane, long at) {
-        LaneHealth s = lanes[lane];
-        if (!s.asked || at < s.askedAt || s.state == State.DEAD) {
-            return; // what it answered before is no answer to this
+        LaneHealth health = lanes[lane];
+        if (!health.heartbeatPending || at < health.heartbeatSentAt || health.state == State.DEAD) {
+            return; // the answer belongs to an earlier heartbeat, or the lane is dead
         }
-        s.asked = false;
-        s.lag = Math.max(0, at - s.askedAt);
-        if (s.lag >= STALLED_AFTER_US) {
-            s.lateAt = at;
+        health.heartbeatPending = false;
+        health.lagUs = Math.max(0, at - health.heartbeatSentAt);
+        if (health.lagUs >= STALLED_AFTER_US) {
+            health.lastLateAt = at;
         }
-        if (s.state == State.STARTING || s.state == State.STALLED && at - s.lateAt >= RECOVERY_PERIOD_US) {
-            s.state = State.SERVING;
+        if (health.state == State.STARTING || health.state == State.STALLED
+                && at - health.lastLateAt >= RECOVERY_PERIOD_US) {
+            health.state = State.SERVING;
         }
     }
 
-    /** Its turns have ended by an error, or it was given up. */
+    /** The lane's event loop ended with an error, or the lane was fenced. */
     public void died(int lane, long now) {
-        LaneHealth s = lanes[lane];
-        boolean again = s.diedBefore && now - s.startedAt < STABLE_UPTIME_US;
-        s.state = State.DEAD;
-        s.wait = again ? Math.min(MAX_RESTART_DELAY_US, Math.max(MIN_RESTART_DELAY_US, 2 * s.wait)) : 0;
-        s.startAgainAt = now + s.wait;
+        LaneHealth health = lanes[lane];
+        boolean diedEarlyAgain = health.replacesDeadLane && now - health.startedAt < STABLE_UPTIME_US;
+        health.state = State.DEAD;
+        health.restartDelayUs = diedEarlyAgain
+                ? Math.min(MAX_RESTART_DELAY_US, Math.max(MIN_RESTART_DELAY_US, 2 * health.restartDelayUs)) : 0;
+        health.restartAt = now + health.restartDelayUs;
     }
 
-    /** When to start another in its place: at once, and later where those before it died soon. */
+    /** Returns when to start a replacement: at once, or after a delay that grows while replacements die early. */
     public long restartAt(int lane) {
-        return lanes[lane].startAgainAt;
+        return lanes[lane].restartAt;
     }
 
-    /** Looks at a lane; DEAD once, the first time, is told for one that is given up. */
+    /** Updates a lane's state from its unanswered heartbeat and returns the state; DEAD if the lane is to be fenced. */
     public State check(int lane, long now) {
-        LaneHealth s = lanes[lane];
-        long silent = s.asked ? now - s.askedAt : 0;
-        if (s.state == State.SERVING && silent >= STALLED_AFTER_US) {
-            s.state = State.STALLED;
-            s.lateAt = now;
+        LaneHealth health = lanes[lane];
+        long unansweredUs = health.heartbeatPending ? now - health.heartbeatSentAt : 0;
+        if (health.state == State.SERVING && unansweredUs >= STALLED_AFTER_US) {
+            health.state = State.STALLED;
+            health.lastLateAt = now;
         }
-        if (s.state != State.DEAD && silent >= FENCED_AFTER_US) {
-            s.state = State.DEAD;
+        if (health.state != State.DEAD && unansweredUs >= FENCED_AFTER_US) {
+            health.state = State.DEAD;
         }
-        return s.state;
+        return health.state;
     }
 
+    /** Returns the state of a lane as of the last event or check. */
     public State state(int lane) {
         return lanes[lane].state;
     }
 
-    /** Microseconds until it answered last, or since it was asked where that is longer. */
+    /** Returns the last heartbeat's response time or, if longer, the time that the current one is unanswered. */
     public long lag(int lane, long now) {
-        LaneHealth s = lanes[lane];
-        return Math.max(s.lag, s.asked ? now - s.askedAt : 0);
+        LaneHealth health = lanes[lane];
+        return Math.max(health.lagUs, health.heartbeatPending ? now - health.heartbeatSentAt : 0);
     }
 }
--- a/coordinator/src/main/java/burlford/lanes/package-info.java
+++ b/coordinator/src/main/java/burlford/lanes/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What the lanes of one process share and how it is dealt out: which lane gets a connection, which lane is fit to
- * serve, leases of what the process has as a whole, ids that are open, probes that are out, what lanes tell each other.
- * {@code Placement} and {@code Supervision} are pure: no I/O, no clock, no threads. {@code Leases} is a row of small
- * steps over {@code AtomicLongs}, which the tests interleave in every order. May use {@code core} and {@code policy}.
+ * State that the lanes of one process share and the rules for dividing it: which lane gets a new connection, whether a
+ * lane is fit to serve, leases of process-wide limits, the ids of open queries, the probes in flight, and the updates
+ * that lanes send each other. {@code Placement} and {@code Supervision} are pure: no I/O, no clock, no threads.
+ * {@code Leases} consists of single atomic steps on {@code AtomicLongs}, which the tests run in every interleaving. The
+ * package may use {@code core} and {@code policy}.
  */
 package burlford.lanes;
--- a/coordinator/src/test/java/burlford/lanes/Interleavings.java
+++ b/coordinator/src/test/java/burlford/lanes/Interleavings.java
@@ -8,81 +8,81 @@
 import java.util.function.Function;
 
 /**
- * Runs small programs over {@link AtomicLongs} in every order in which their steps can fall: one step is one access to
- * a cell. Each order is played from the start, with the threads taking turns as a schedule says.
+ * Runs small concurrent programs over {@link AtomicLongs} in every interleaving of their steps, where a step is one
+ * access to a value. Each run starts from the beginning, and a schedule decides which thread makes the next step.
  */
 final class Interleavings {
 
-    /** What runs at once, and what must hold when all has run. */
+    /** Programs that run concurrently, and a check that must hold after all have ended. */
     record Case(List<Runnable> programs, Runnable check) { }
 
     private final List<Integer> schedule = new ArrayList<>();
     private final List<Integer> choices = new ArrayList<>();
-    private final Set<String> met = new HashSet<>();
+    private final Set<String> visitedStates = new HashSet<>();
     private StringBuilder[] histories = {};
-    private int played;
+    private int runCount;
 
     private final class SteppedLongs implements AtomicLongs {
-        private final AtomicLongs cells;
+        private final AtomicLongs values;
         private final int count;
 
-        SteppedLongs(AtomicLongs cells, int count) {
-            this.cells = cells;
+        SteppedLongs(AtomicLongs values, int count) {
+            this.values = values;
             this.count = count;
         }
 
         @Override
-        public long get(int cell) {
-            turn();
-            return seen(cells.get(cell));
+        public long get(int index) {
+            awaitTurn();
+            return recordResult(values.get(index));
         }
 
         @Override
-        public boolean compareAndSet(int cell, long expected, long to) {
-            turn();
-            return seen(cells.compareAndSet(cell, expected, to));
+        public boolean compareAndSet(int index, long expected, long newValue) {
+            awaitTurn();
+            return recordResult(values.compareAndSet(index, expected, newValue));
         }
 
-        /** What a program saw so far is all it goes by: with the cells it says where the whole stands. */
-        private <T> T seen(T result) {
-            Integer me = self.get();
-            if (me != null) {
-                histories[me].append(result).append(',');
+        /** A program depends only on the results it has read, so these and the values identify the state of a run. */
+        private <T> T recordResult(T result) {
+            Integer program = currentProgram.get();
+            if (program != null) {
+                histories[program].append(result).append(',');
             }
             return result;
         }
 
         String state() {
             StringBuilder state = new StringBuilder();
-            for (int cell = 0; cell < count; cell++) {
-                state.append(cells.get(cell)).append(' ');
+            for (int index = 0; index < count; index++) {
+                state.append(values.get(index)).append(' ');
             }
-            for (StringBuilder h : histories) {
-                state.append('|').append(h);
+            for (StringBuilder history : histories) {
+                state.append('|').append(history);
             }
             return state.toString();
         }
     }
 
-    private final ThreadLocal<Integer> self = new ThreadLocal<>();
+    private final ThreadLocal<Integer> currentProgram = new ThreadLocal<>();
     private int running = -1;
-    private boolean[] waits;
+    private boolean[] waiting;
     private boolean[] done;
 
-    private void turn() {
-        Integer me = self.get();
-        if (me == null) {
-            return; // set up and checked outside the programs
+    private void awaitTurn() {
+        Integer program = currentProgram.get();
+        if (program == null) {
+            return; // access by the setup or the check, outside the programs
         }
         synchronized (this) {
-            histories[me].append('.');
-            waits[me] = true;
+            histories[program].append('.');
+            waiting[program] = true;
             running = -1;
             notifyAll();
-            while (running != me) {
+            while (running != program) {
                 await();
             }
-            waits[me] = false;
+            waiting[program] = false;
         }
     }
 
@@ -95,102 +95,102 @@
     }
 
     /**
-     * Plays all orders, the case made anew for each over so many cells; where one comes to a state that another was
-     * in, what can follow has been played or will be. Returns how many were played.
+     * Runs every interleaving, each with a new case over the given count of values. A run that reaches a state visited
+     * before is not branched further, because the earlier visit covers all continuations. Returns the number of runs.
      */
-    static int runAll(int cells, Function<AtomicLongs, Case> make) {
-        Interleavings i = new Interleavings();
+    static int runAll(int count, Function<AtomicLongs, Case> caseFactory) {
+        Interleavings interleavings = new Interleavings();
         do {
-            SteppedLongs stepped = i.new SteppedLongs(AtomicLongs.padded(cells), cells);
-            i.play(make.apply(stepped), stepped);
-        } while (i.next());
-        return i.played;
+            SteppedLongs stepped = interleavings.new SteppedLongs(AtomicLongs.padded(count), count);
+            interleavings.runOnce(caseFactory.apply(stepped), stepped);
+        } while (interleavings.advanceSchedule());
+        return interleavings.runCount;
     }
 
-    private void play(Case c, SteppedLongs cells) {
-        boolean known = false;
-        int n = c.programs().size();
-        waits = new boolean[n];
-        done = new boolean[n];
-        histories = new StringBuilder[n];
+    private void runOnce(Case testCase, SteppedLongs values) {
+        boolean visited = false;
+        int programCount = testCase.programs().size();
+        waiting = new boolean[programCount];
+        done = new boolean[programCount];
+        histories = new StringBuilder[programCount];
         Arrays.setAll(histories, p -> new StringBuilder());
         running = -1;
         Throwable[] thrown = new Throwable[1];
         List<Thread> threads = new ArrayList<>();
-        for (int p = 0; p < n; p++) {
-            int me = p;
-            Thread t = new Thread(() -> {
-                self.set(me);
+        for (int p = 0; p < programCount; p++) {
+            int program = p;
+            Thread thread = new Thread(() -> {
+                currentProgram.set(program);
                 try {
-                    turn();
-                    c.programs().get(me).run();
+                    awaitTurn();
+                    testCase.programs().get(program).run();
                 } catch (Throwable e) {
                     thrown[0] = e;
                 }
                 synchronized (this) {
-                    done[me] = true;
+                    done[program] = true;
                     running = -1;
                     notifyAll();
                 }
             });
-            t.start();
-            threads.add(t);
+            thread.start();
+            threads.add(thread);
         }
         synchronized (this) {
             for (int step = 0; ; step++) {
-                while (running != -1 || !allAtRest()) {
+                while (running != -1 || !allWaitingOrDone()) {
                     await();
                 }
-                List<Integer> able = new ArrayList<>();
-                for (int p = 0; p < n; p++) {
+                List<Integer> runnable = new ArrayList<>();
+                for (int p = 0; p < programCount; p++) {
                     if (!done[p]) {
-                        able.add(p);
+                        runnable.add(p);
                     }
                 }
-                if (able.isEmpty()) {
+                if (runnable.isEmpty()) {
                     break;
                 }
-                if (step == schedule.size() && !known) {
-                    known = !met.add(cells.state());
-                    if (!known) {
+                if (step == schedule.size() && !visited) {
+                    visited = !visitedStates.add(values.state());
+                    if (!visited) {
                         schedule.add(0);
-                        choices.add(able.size());
+                        choices.add(runnable.size());
                     }
                 }
-                running = step < schedule.size() ? able.get(schedule.get(step)) : able.get(0);
-                waits[running] = false;
+                running = step < schedule.size() ? runnable.get(schedule.get(step)) : runnable.get(0);
+                waiting[running] = false;
                 notifyAll();
             }
         }
-        for (Thread t : threads) {
+        for (Thread thread : threads) {
             try {
-                t.join();
+                thread.join();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         }
-        played++;
+        runCount++;
         if (thrown[0] != null) {
-            throw new AssertionError("in order " + schedule, thrown[0]);
+            throw new AssertionError("in schedule " + schedule, thrown[0]);
         }
         try {
-            c.check().run();
+            testCase.check().run();
         } catch (AssertionError e) {
-            throw new AssertionError("after order " + schedule, e);
+            throw new AssertionError("after schedule " + schedule, e);
         }
     }
 
-    private boolean allAtRest() {
+    private boolean allWaitingOrDone() {
         for (int p = 0; p < done.length; p++) {
-            if (!done[p] && !waits[p]) {
+            if (!done[p] && !waiting[p]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The next order, depth first; false when all were played. */
-    private boolean next() {
+    /** Advances to the next schedule, depth first; false if all have run. */
+    private boolean advanceSchedule() {
         while (!schedule.isEmpty()) {
             int last = schedule.size() - 1;
             if (schedule.get(last) + 1 < choices.get(last)) {
--- a/coordinator/src/test/java/burlford/lanes/LaneShareTest.java
+++ b/coordinator/src/test/java/burlford/lanes/LaneShareTest.java
@@ -11,20 +11,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** What lanes hold together: one id, one probe, one limit; words that are lost; orders that are not. */
+/**
+ * Guards against lanes that use shared state twice or leak it: ids, query numbers, probes, capacity and reader
+ * connections. Also checks that an overfull queue drops peer updates, with notice, but never broadcasts.
+ */
 class LaneShareTest {
 
-    private static final int OPEN = 40;
+    private static final int MAX_OPEN = 40;
     private long now = 1_000_000;
-    private final ProcessResources ground = new ProcessResources(2, OPEN, 1000, 160);
+    private final ProcessResources resources = new ProcessResources(2, MAX_OPEN, 1000, 160);
     private final List<Runnable> posted = new ArrayList<>();
-    private final LaneShare a = share(0);
-    private final LaneShare b = share(1);
+    private final LaneShare laneA = share(0);
+    private final LaneShare laneB = share(1);
 
     private LaneShare share(int lane) {
-        LaneShare s = new LaneShare(ground, lane, posted::add, () -> now);
-        s.join(() -> { }, () -> { }, () -> { });
-        return s;
+        LaneShare share = new LaneShare(resources, lane, posted::add, () -> now);
+        share.join(() -> { }, () -> { }, () -> { });
+        return share;
     }
 
     private void runPosted() {
@@ -33,185 +36,186 @@
         all.forEach(Runnable::run);
     }
 
-    private void probed(String reader) {
-        a.notifyProbed(reader, Outcome.OK, 0, 1, new double[0]);
+    private void notifyProbedByLaneA(String reader) {
+        laneA.notifyProbed(reader, Outcome.OK, 0, 1, new double[0]);
     }
 
     @Test
-    void ofTwoLanesAskedTheSameIdAtOnceOneHasIt() throws Exception {
+    void concurrentClaimsOfAnIdHaveOneWinner() throws Exception {
         int ids = 50_000;
-        AtomicInteger won = new AtomicInteger();
-        AtomicInteger both = new AtomicInteger();
+        AtomicInteger claims = new AtomicInteger();
+        AtomicInteger doubleClaims = new AtomicInteger();
         AtomicInteger[] holders = new AtomicInteger[ids];
         java.util.Arrays.setAll(holders, i -> new AtomicInteger());
         CyclicBarrier barrier = new CyclicBarrier(2);
         List<Thread> threads = new ArrayList<>();
-        for (LaneShare lane : List.of(a, b)) {
-            Thread t = new Thread(() -> {
+        for (LaneShare lane : List.of(laneA, laneB)) {
+            Thread thread = new Thread(() -> {
                 try {
                     for (int i = 0; i < ids; i++) {
                         if (i % 100 == 0) {
                             barrier.await();
                         }
                         if (lane.claimId("id-" + i)) {
-                            won.incrementAndGet();
-                            both.addAndGet(holders[i].incrementAndGet() - 1);
+                            claims.incrementAndGet();
+                            doubleClaims.addAndGet(holders[i].incrementAndGet() - 1);
                         }
                     }
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
             });
-            t.start();
-            threads.add(t);
+            thread.start();
+            threads.add(thread);
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        assertThat(won.get()).isEqualTo(ids);
-        assertThat(both.get()).isZero();
-        a.close();
-        b.close();
-        assertThat(ground.openIds()).isZero();
+        assertThat(claims.get()).isEqualTo(ids);
+        assertThat(doubleClaims.get()).isZero();
+        laneA.close();
+        laneB.close();
+        assertThat(resources.openIds()).isZero();
     }
 
     /**
-     * Threads for lanes take and leave room as fast as they can, one dies with all it has: never over, nothing lost.
+     * The threads of two lanes acquire and release capacity as fast as they can and end with units still held: the
+     * limit is never exceeded, and no unit is lost.
      */
     @Test
-    void roomIsNeverExceededAndAllComesBack() throws Exception {
+    void capacityIsNeverExceededAndFullyReturned() throws Exception {
         AtomicLong used = new AtomicLong();
-        AtomicLong over = new AtomicLong();
-        AtomicLong taken = new AtomicLong();
+        AtomicLong violations = new AtomicLong();
+        AtomicLong acquisitions = new AtomicLong();
         List<Thread> threads = new ArrayList<>();
-        for (LaneShare lane : List.of(a, b)) {
-            Thread t = new Thread(() -> {
-                java.util.Random random = new java.util.Random(lane == a ? 1 : 2);
-                java.util.ArrayDeque<Integer> mine = new java.util.ArrayDeque<>();
+        for (LaneShare lane : List.of(laneA, laneB)) {
+            Thread thread = new Thread(() -> {
+                java.util.Random random = new java.util.Random(lane == laneA ? 1 : 2);
+                java.util.ArrayDeque<Integer> heldUnits = new java.util.ArrayDeque<>();
                 for (int i = 0; i < 300_000; i++) {
                     int units = 1 + random.nextInt(6);
-                    if (random.nextBoolean() && lane.tryAcquireCapacity(units, OPEN)) {
-                        over.addAndGet(used.addAndGet(units) > OPEN ? 1 : 0);
-                        taken.incrementAndGet();
-                        mine.add(units);
-                    } else if (!mine.isEmpty()) {
-                        int back = mine.poll();
-                        used.addAndGet(-back);
-                        lane.releaseCapacity(back);
+                    if (random.nextBoolean() && lane.tryAcquireCapacity(units, MAX_OPEN)) {
+                        violations.addAndGet(used.addAndGet(units) > MAX_OPEN ? 1 : 0);
+                        acquisitions.incrementAndGet();
+                        heldUnits.add(units);
+                    } else if (!heldUnits.isEmpty()) {
+                        int returned = heldUnits.poll();
+                        used.addAndGet(-returned);
+                        lane.releaseCapacity(returned);
                     }
                 }
-                used.addAndGet(-mine.stream().mapToInt(u -> u).sum());
+                used.addAndGet(-heldUnits.stream().mapToInt(u -> u).sum());
                 lane.close();
             });
-            t.start();
-            threads.add(t);
+            thread.start();
+            threads.add(thread);
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        assertThat(over.get()).isZero();
-        assertThat(taken.get()).isGreaterThan(1000);
-        assertThat(ground.freeQueryCapacity()).isEqualTo(OPEN);
+        assertThat(violations.get()).isZero();
+        assertThat(acquisitions.get()).isGreaterThan(1000);
+        assertThat(resources.freeQueryCapacity()).isEqualTo(MAX_OPEN);
     }
 
     @Test
-    void oneLaneMayUseAllThatTheOtherLeavesIdle() {
-        assertThat(a.tryAcquireCapacity(1, OPEN)).isTrue(); // takes a chunk into its store
-        assertThat(b.tryAcquireCapacity(OPEN - 1, OPEN)).isTrue();
-        assertThat(a.tryAcquireCapacity(1, OPEN)).isFalse();
-        b.releaseCapacity(OPEN - 1);
-        assertThat(a.tryAcquireCapacity(OPEN - 1, OPEN)).isTrue();
+    void laneMayUseAllCapacityThatTheOtherLeavesUnused() {
+        assertThat(laneA.tryAcquireCapacity(1, MAX_OPEN)).isTrue(); // also moves a chunk into its reserve
+        assertThat(laneB.tryAcquireCapacity(MAX_OPEN - 1, MAX_OPEN)).isTrue();
+        assertThat(laneA.tryAcquireCapacity(1, MAX_OPEN)).isFalse();
+        laneB.releaseCapacity(MAX_OPEN - 1);
+        assertThat(laneA.tryAcquireCapacity(MAX_OPEN - 1, MAX_OPEN)).isTrue();
     }
 
     @Test
-    void oneProbeIsOutToAReaderWhicheverLaneAsks() {
-        assertThat(a.claimProbe("r")).isTrue();
-        assertThat(b.claimProbe("r")).isFalse();
-        assertThat(a.claimProbe("r")).isFalse();
-        assertThat(b.claimProbe("s")).isTrue();
-        probed("r");
-        assertThat(b.pollPeerUpdates()).hasSize(1);
-        assertThat(b.claimProbe("r")).isTrue();
-        // A lane that is given up with a question out: the others may ask.
-        b.fence();
-        assertThat(a.claimProbe("r")).isTrue();
-        assertThat(a.claimProbe("s")).isTrue();
+    void lanesShareOneProbePerReader() {
+        assertThat(laneA.claimProbe("r")).isTrue();
+        assertThat(laneB.claimProbe("r")).isFalse();
+        assertThat(laneA.claimProbe("r")).isFalse();
+        assertThat(laneB.claimProbe("s")).isTrue();
+        notifyProbedByLaneA("r");
+        assertThat(laneB.pollPeerUpdates()).hasSize(1);
+        assertThat(laneB.claimProbe("r")).isTrue();
+        // The probes of a fenced lane no longer block the other lanes.
+        laneB.fence();
+        assertThat(laneA.claimProbe("r")).isTrue();
+        assertThat(laneA.claimProbe("s")).isTrue();
     }
 
     @Test
-    void aFullQueueDropsTheOldestWordsAndSaysSoAndKeepsOrders() {
-        List<String> ordered = new ArrayList<>();
+    void fullQueueDropsOldestUpdatesButNoBroadcasts() {
+        List<String> applied = new ArrayList<>();
         for (int i = 0; i < 3 * PeerUpdateQueue.CAPACITY; i++) {
             int n = i;
-            probed("r" + i);
-            a.flushPeerUpdates();
-            b.stageBroadcast(() -> ordered.add("list " + n));
-            b.publishBroadcasts(i + 1);
+            notifyProbedByLaneA("r" + i);
+            laneA.flushPeerUpdates();
+            laneB.stageBroadcast(() -> applied.add("list " + n));
+            laneB.publishBroadcasts(i + 1);
         }
-        b.applyBroadcasts();
-        assertThat(ordered).hasSize(3 * PeerUpdateQueue.CAPACITY).startsWith("list 0")
-                .endsWith("list " + (ordered.size() - 1));
-        List<PeerUpdate> heard = b.pollPeerUpdates();
-        assertThat(heard.get(0)).isInstanceOf(PeerUpdate.UpdatesLost.class);
-        assertThat(heard).hasSize(1 + PeerUpdateQueue.CAPACITY);
-        assertThat(heard.get(heard.size() - 1)).extracting("reader").isEqualTo("r" + (ordered.size() - 1));
-        probed("last");
-        a.flushPeerUpdates();
-        assertThat(b.pollPeerUpdates()).hasSize(1); // the loss was told once
-        assertThat(b.droppedBatches()).isEqualTo(2 * PeerUpdateQueue.CAPACITY);
+        laneB.applyBroadcasts();
+        assertThat(applied).hasSize(3 * PeerUpdateQueue.CAPACITY).startsWith("list 0")
+                .endsWith("list " + (applied.size() - 1));
+        List<PeerUpdate> updates = laneB.pollPeerUpdates();
+        assertThat(updates.get(0)).isInstanceOf(PeerUpdate.UpdatesLost.class);
+        assertThat(updates).hasSize(1 + PeerUpdateQueue.CAPACITY);
+        assertThat(updates.get(updates.size() - 1)).extracting("reader").isEqualTo("r" + (applied.size() - 1));
+        notifyProbedByLaneA("last");
+        laneA.flushPeerUpdates();
+        assertThat(laneB.pollPeerUpdates()).hasSize(1); // the loss is reported once
+        assertThat(laneB.droppedBatches()).isEqualTo(2 * PeerUpdateQueue.CAPACITY);
     }
 
     @Test
-    void anOrderCountsFromTheMomentItIsToldToAllAndBeforeWhatIsDecidedNext() {
-        List<String> log = new ArrayList<>();
-        a.stageBroadcast(() -> log.add("a"));
-        b.stageBroadcast(() -> log.add("b"));
-        a.applyBroadcasts();
-        assertThat(log).isEmpty(); // not told yet: the other might not know
-        a.publishBroadcasts(1);
-        b.publishBroadcasts(1);
-        b.applyBroadcasts();
-        a.applyBroadcasts();
-        assertThat(log).containsExactly("b", "a");
-        assertThat(a.appliedGeneration()).isEqualTo(1);
-        runPosted(); // what was posted to wake them finds nothing more
-        assertThat(log).hasSize(2);
+    void broadcastAppliesOnlyOncePublished() {
+        List<String> applied = new ArrayList<>();
+        laneA.stageBroadcast(() -> applied.add("a"));
+        laneB.stageBroadcast(() -> applied.add("b"));
+        laneA.applyBroadcasts();
+        assertThat(applied).isEmpty(); // not published yet: the other lane might not have it
+        laneA.publishBroadcasts(1);
+        laneB.publishBroadcasts(1);
+        laneB.applyBroadcasts();
+        laneA.applyBroadcasts();
+        assertThat(applied).containsExactly("b", "a");
+        assertThat(laneA.appliedGeneration()).isEqualTo(1);
+        runPosted(); // the posted wake-ups find nothing left to apply
+        assertThat(applied).hasSize(2);
     }
 
     @Test
-    void whatALaneThatStoodStillReadsIsAsOldAsItsSilence() {
-        a.sendHeartbeat(now, () -> { });
+    void stallLastsAsLongAsTheUnansweredHeartbeat() {
+        laneA.sendHeartbeat(now, () -> { });
         now += 300_000;
-        assertThat(a.stallUs()).isEqualTo(300_000);
+        assertThat(laneA.stallUs()).isEqualTo(300_000);
         runPosted();
-        assertThat(a.stallUs()).isZero();
-        a.sendHeartbeat(now, () -> { });
+        assertThat(laneA.stallUs()).isZero();
+        laneA.sendHeartbeat(now, () -> { });
         now += 20_000;
-        assertThat(a.stallUs()).isZero(); // the ordinary lag of a loop at work
+        assertThat(laneA.stallUs()).isZero(); // ordinary lag of a busy event loop
     }
 
     @Test
-    void connectionsToAReaderAreBoundedForAllLanesAndEachMayHaveOne() {
-        ground.setReaderCount(10); // 160 descriptors: 50 for readers, 5 for each
+    void readerConnectionsAreLimitedAcrossLanesWithOneForEach() {
+        resources.setReaderCount(10); // 160 descriptors: 50 for readers, 5 for each
         int opened = 0;
-        while (a.readerConnectionLimits().mayOpen("r", opened)) {
-            a.readerConnectionLimits().opened("r");
+        while (laneA.readerConnectionLimits().mayOpen("r", opened)) {
+            laneA.readerConnectionLimits().opened("r");
             opened++;
         }
         assertThat(opened).isEqualTo(5);
-        assertThat(b.readerConnectionLimits().mayOpen("r", 0)).isTrue();
-        assertThat(b.readerConnectionLimits().mayOpen("r", 1)).isFalse();
-        a.close();
-        assertThat(b.readerConnectionLimits().mayOpen("r", 1)).isTrue();
-        assertThat(ground.readerConnections()).isZero();
+        assertThat(laneB.readerConnectionLimits().mayOpen("r", 0)).isTrue();
+        assertThat(laneB.readerConnectionLimits().mayOpen("r", 1)).isFalse();
+        laneA.close();
+        assertThat(laneB.readerConnectionLimits().mayOpen("r", 1)).isTrue();
+        assertThat(resources.readerConnections()).isZero();
     }
 
     @Test
-    void noQueryNumberIsGivenTwice() {
+    void queryNumbersAreUnique() {
         java.util.Set<Long> seen = new java.util.HashSet<>();
         for (int i = 0; i < 5 * ProcessResources.QUERY_NUMBER_BLOCK; i++) {
-            assertThat(seen.add(a.nextQueryNumber())).isTrue();
-            assertThat(seen.add(b.nextQueryNumber())).isTrue();
+            assertThat(seen.add(laneA.nextQueryNumber())).isTrue();
+            assertThat(seen.add(laneB.nextQueryNumber())).isTrue();
         }
         assertThat(seen).doesNotContain(0L);
     }
--- a/coordinator/src/test/java/burlford/lanes/LeasesTest.java
+++ b/coordinator/src/test/java/burlford/lanes/LeasesTest.java
@@ -14,12 +14,15 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Never more than there is, nothing lost, and none turned away while another's share lies idle. */
+/**
+ * Guards against leases that grant more than the total, lose units, or refuse an acquisition while another lane's units
+ * are unused. Such faults come about when acquire, release, reclaim and resize of several threads interleave.
+ */
 class LeasesTest {
 
     private static final int LANES = 3;
 
-    /** What one lane does: kind 0 takes, 1 gives back what it took first, 2 dies, 3 resizes, 4 is reclaimed from. */
+    /** One step. Kinds: 0 acquire, 1 release the oldest acquisition, 2 lane failure, 3 resize, 4 reclaim. */
     record Step(int kind, int lane, long amount) { }
 
     @Provide
@@ -31,92 +34,93 @@
     }
 
     @Property(tries = 2000)
-    void everyOrderOfBorrowReturnDeathAndResizeKeepsTheSum(@ForAll("steps") List<Step> steps) {
+    void acquireReleaseFailureAndResizePreserveTheTotal(@ForAll("steps") List<Step> steps) {
         long total = 100;
         Leases leases = new Leases(AtomicLongs.padded(LANES + 1), LANES, total);
-        List<java.util.ArrayDeque<Long>> taken = IntStream.range(0, LANES)
+        List<java.util.ArrayDeque<Long>> acquired = IntStream.range(0, LANES)
                 .mapToObj(i -> new java.util.ArrayDeque<Long>()).toList();
-        for (Step s : steps) {
-            java.util.ArrayDeque<Long> mine = taken.get(s.lane());
-            long used = taken.stream().flatMap(java.util.Collection::stream).mapToLong(l -> l).sum();
-            switch (s.kind()) {
+        for (Step step : steps) {
+            java.util.ArrayDeque<Long> acquiredByLane = acquired.get(step.lane());
+            long used = acquired.stream().flatMap(java.util.Collection::stream).mapToLong(l -> l).sum();
+            switch (step.kind()) {
                 case 0 -> {
-                    boolean got = leases.tryAcquire(s.lane(), s.amount());
-                    // Alone at work, it is given exactly where there is so much, wherever it lies.
-                    assertThat(got).isEqualTo(used + s.amount() <= total || s.amount() == 0);
-                    if (got) {
-                        mine.add(s.amount());
+                    boolean granted = leases.tryAcquire(step.lane(), step.amount());
+                    // Without concurrency a request is granted exactly if enough is unused, in whichever reserve.
+                    assertThat(granted).isEqualTo(used + step.amount() <= total || step.amount() == 0);
+                    if (granted) {
+                        acquiredByLane.add(step.amount());
                     }
                 }
                 case 1 -> {
-                    if (!mine.isEmpty()) {
-                        leases.release(s.lane(), mine.poll());
+                    if (!acquiredByLane.isEmpty()) {
+                        leases.release(step.lane(), acquiredByLane.poll());
                     }
                 }
                 case 2 -> {
-                    leases.release(s.lane(), mine.stream().mapToLong(l -> l).sum());
-                    mine.clear();
-                    leases.reclaim(s.lane());
+                    leases.release(step.lane(), acquiredByLane.stream().mapToLong(l -> l).sum());
+                    acquiredByLane.clear();
+                    leases.reclaim(step.lane());
                 }
                 case 3 -> {
-                    leases.resize(total, 50 + s.amount());
-                    total = 50 + s.amount();
+                    leases.resize(total, 50 + step.amount());
+                    total = 50 + step.amount();
                 }
-                default -> leases.reclaim(s.lane());
+                default -> leases.reclaim(step.lane());
             }
-            used = taken.stream().flatMap(java.util.Collection::stream).mapToLong(l -> l).sum();
+            used = acquired.stream().flatMap(java.util.Collection::stream).mapToLong(l -> l).sum();
             assertThat(leases.unused() + used).isEqualTo(total);
         }
     }
 
-    /** Both take, give back, and take all: what is in use never passes the total, at any step of any order. */
+    /** Two lanes acquire and release at the same time: the units in use never exceed the total. */
     @Test
-    void inEveryInterleavingNoMoreIsInUseThanThereIs() {
-        int orders = Interleavings.runAll(3, cells -> {
-            Leases leases = new Leases(cells, 2, 3);
+    void noInterleavingAcquiresMoreThanTheTotal() {
+        int runs = Interleavings.runAll(3, amounts -> {
+            Leases leases = new Leases(amounts, 2, 3);
             AtomicLong used = new AtomicLong();
             Runnable[] lanes = new Runnable[2];
             for (int lane = 0; lane < 2; lane++) {
-                int me = lane;
+                int self = lane;
                 lanes[lane] = () -> {
-                    if (leases.tryAcquire(me, 2)) {
+                    if (leases.tryAcquire(self, 2)) {
                         assertThat(used.addAndGet(2)).isLessThanOrEqualTo(3);
                         used.addAndGet(-2);
-                        leases.release(me, 2);
+                        leases.release(self, 2);
                     }
                 };
             }
             return new Interleavings.Case(Arrays.asList(lanes), () -> assertThat(leases.unused()).isEqualTo(3));
         });
-        assertThat(orders).isGreaterThan(100);
+        assertThat(runs).isGreaterThan(100);
     }
 
-    /** One lane takes while another thread takes back what it holds unused: neither is doubled nor lost. */
+    /** A lane acquires while another thread reclaims its reserve: no unit is duplicated or lost. */
     @Test
-    void inEveryInterleavingAReclaimTakesOnlyWhatIsUnused() {
-        int orders = Interleavings.runAll(3, cells -> {
-            Leases leases = new Leases(cells, 2, 40);
+    void noInterleavingReclaimsAcquiredUnits() {
+        int runs = Interleavings.runAll(3, amounts -> {
+            Leases leases = new Leases(amounts, 2, 40);
             assertThat(leases.tryAcquire(0, 1)).isTrue();
-            boolean[] got = new boolean[1];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(0, 2), () -> leases.reclaim(0)),
+            boolean[] granted = new boolean[1];
+            return new Interleavings.Case(List.of(() -> granted[0] = leases.tryAcquire(0, 2), () -> leases.reclaim(0)),
                     () -> {
-                        assertThat(got[0]).isTrue();
+                        assertThat(granted[0]).isTrue();
                         assertThat(leases.unused()).isEqualTo(37);
                     });
         });
-        assertThat(orders).isGreaterThan(10);
+        assertThat(runs).isGreaterThan(10);
     }
 
-    /** The total is cut while a lane takes: once both are done, nothing more is given out until enough came back. */
+    /** The total is reduced while a lane acquires: afterwards nothing is granted until enough was released. */
     @Test
-    void inEveryInterleavingACutHoldsForWhatIsTakenAfterIt() {
-        Interleavings.runAll(3, cells -> {
-            Leases leases = new Leases(cells, 2, 4);
+    void reducedTotalLimitsLaterAcquisitionsInEveryInterleaving() {
+        Interleavings.runAll(3, amounts -> {
+            Leases leases = new Leases(amounts, 2, 4);
             assertThat(leases.tryAcquire(0, 2)).isTrue();
-            boolean[] got = new boolean[1];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(1, 2), () -> leases.resize(4, 2)),
+            boolean[] granted = new boolean[1];
+            return new Interleavings.Case(List.of(() -> granted[0] = leases.tryAcquire(1, 2),
+                    () -> leases.resize(4, 2)),
                     () -> {
-                long used = got[0] ? 4 : 2;
+                long used = granted[0] ? 4 : 2;
                 assertThat(leases.unused()).isEqualTo(2 - used);
                 assertThat(leases.tryAcquire(0, 1)).isFalse();
                 assertThat(leases.tryAcquire(1, 1)).isFalse();
@@ -126,20 +130,20 @@
         });
     }
 
-    /** Two that take at once from what suffices for one: one gets it or, in passing, none; never both. */
+    /** Two lanes acquire the last unit at the same time: one of them gets it, or in some interleavings none. */
     @Test
-    void inEveryInterleavingTheLastIsGivenOnce() {
-        int[] both = new int[3];
-        Interleavings.runAll(3, cells -> {
-            Leases leases = new Leases(cells, 2, 1);
-            boolean[] got = new boolean[2];
-            return new Interleavings.Case(List.of(() -> got[0] = leases.tryAcquire(0, 1),
-                    () -> got[1] = leases.tryAcquire(1, 1)), () -> {
-                        both[(got[0] ? 1 : 0) + (got[1] ? 1 : 0)]++;
-                        assertThat(leases.unused()).isEqualTo(got[0] || got[1] ? 0 : 1);
+    void noInterleavingGrantsTheLastUnitTwice() {
+        int[] runsByGrantCount = new int[3];
+        Interleavings.runAll(3, amounts -> {
+            Leases leases = new Leases(amounts, 2, 1);
+            boolean[] granted = new boolean[2];
+            return new Interleavings.Case(List.of(() -> granted[0] = leases.tryAcquire(0, 1),
+                    () -> granted[1] = leases.tryAcquire(1, 1)), () -> {
+                        runsByGrantCount[(granted[0] ? 1 : 0) + (granted[1] ? 1 : 0)]++;
+                        assertThat(leases.unused()).isEqualTo(granted[0] || granted[1] ? 0 : 1);
                     });
         });
-        assertThat(both[2]).isZero();
-        assertThat(both[1]).isPositive();
+        assertThat(runsByGrantCount[2]).isZero();
+        assertThat(runsByGrantCount[1]).isPositive();
     }
 }
