--- a/coordinator/src/main/java/burlford/lanes/Placement.java
+++ b/coordinator/src/main/java/burlford/lanes/Placement.java
@@ -40,6 +40,7 @@
     private final int[] overloadedChecks;
     private final long[] cooldownUntil;
 
+    /** Creates the placement of lanes numbered from 0; the seed determines how ties are broken. */
     public Placement(int lanes, long seed) {
         random = new SplittableRandom(seed);
         smoothedOpen = new double[lanes];
--- a/coordinator/src/main/java/burlford/lanes/Supervision.java
+++ b/coordinator/src/main/java/burlford/lanes/Supervision.java
@@ -40,6 +40,7 @@
 
     private final LaneHealth[] lanes;
 
+    /** Creates the supervision of lanes numbered from 0 to count - 1; none of them has been started yet. */
     public Supervision(int count) {
         lanes = new LaneHealth[count];
         Arrays.setAll(lanes, i -> new LaneHealth());
