--- a/coordinator/src/main/java/burlford/inventory/CsvInventory.java
+++ b/coordinator/src/main/java/burlford/inventory/CsvInventory.java
@@ -14,7 +14,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** One reader a row, under a header row: id, group and a column for each variable; an empty cell is none. */
+/**
+ * CSV inventory: a header row, then one row for each reader. The columns are id, group and one for each variable; an
+ * empty field means that the variable is not set.
+ */
 final class CsvInventory {
 
     private static final String ID = "id";
@@ -40,9 +43,9 @@
                     continue;
                 }
                 if (header == null) {
-                    header = header(line, row);
+                    header = checkHeader(line, row);
                 } else {
-                    row(builder, line, header, row);
+                    addHost(builder, line, header, row);
                 }
             }
         } catch (JsonProcessingException e) {
@@ -54,7 +57,7 @@
         }
     }
 
-    private static List<String> header(long line, List<String> names) throws Inventory.InvalidInventoryException {
+    private static List<String> checkHeader(long line, List<String> names) throws Inventory.InvalidInventoryException {
         Set<String> seen = new TreeSet<>();
         for (String name : names) {
             if (name.isEmpty() || !seen.add(name)) {
@@ -62,15 +65,15 @@
                         + name);
             }
         }
-        for (String needed : List.of(ID, Inventory.ADDRESS, Inventory.PORT, Inventory.CELL)) {
-            if (!seen.contains(needed)) {
-                throw new Inventory.InvalidInventoryException(line, "the header lacks the column " + needed);
+        for (String required : List.of(ID, Inventory.ADDRESS, Inventory.PORT, Inventory.CELL)) {
+            if (!seen.contains(required)) {
+                throw new Inventory.InvalidInventoryException(line, "the header lacks the column " + required);
             }
         }
         return names;
     }
 
-    private static void row(Inventory.Builder builder, long line, List<String> header, List<String> row)
+    private static void addHost(Inventory.Builder builder, long line, List<String> header, List<String> row)
             throws Inventory.InvalidInventoryException {
         if (row.size() != header.size()) {
             throw new Inventory.InvalidInventoryException(line, row.size() + " values under " + header.size()
@@ -95,17 +98,17 @@
         header.addAll(columns);
         StringWriter out = new StringWriter();
         try (CsvGenerator csv = new CsvFactory().createGenerator(out)) {
-            line(csv, header);
+            writeRow(csv, header);
             for (Inventory.Host h : inventory.hosts()) {
                 List<String> row = new ArrayList<>(List.of(h.id(), h.group()));
                 columns.forEach(c -> row.add(h.variables().getOrDefault(c, "")));
-                line(csv, row);
+                writeRow(csv, row);
             }
         }
         return out.toString();
     }
 
-    private static void line(CsvGenerator csv, List<String> values) throws IOException {
+    private static void writeRow(CsvGenerator csv, List<String> values) throws IOException {
         csv.writeStartArray();
         for (String value : values) {
             csv.writeString(value);
--- a/coordinator/src/main/java/burlford/inventory/Inventory.java
+++ b/coordinator/src/main/java/burlford/inventory/Inventory.java
@@ -13,22 +13,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The readers as configuration tools keep them: hosts in groups, with variables. */
+/** The readers as listed by configuration tools: hosts in groups, with variables. */
 public record Inventory(List<Host> hosts) {
 
-    /** The variables that say what the coordinator needs; any other is kept and passed on. */
+    /** Names of the variables that the coordinator uses; any others are kept and written out again. */
     static final String ADDRESS = "ansible_host";
     static final String PORT = "ansible_port";
     static final String CELL = "cell";
     static final String ZONE = "zone";
     static final String SIZE = "size";
     static final String STATUS = "status";
-    /** The group of hosts that stand in none. */
+    /** Group given to hosts without one. */
     static final String UNGROUPED = "ungrouped";
-    /** Where the settings, and so the number of cells, are not at hand. */
+    /** Upper limit of the cell count, used where the settings, and so the actual count, are not available. */
     public static final int MAX_CELLS = 65536;
 
-    /** variables: all that hold for the host, its groups' included. */
+    /** variables: all variables of the host, including those inherited from its groups. */
     public record Host(String id, String group, Map<String, String> variables) {
 
         ReaderEntry toReaderEntry() {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** An inventory that cannot be used; the message begins with the line. */
+    /** The inventory is malformed or has invalid values; the message names the line, after the file if known. */
     public static final class InvalidInventoryException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -53,12 +53,12 @@
     }
 
     /**
-     * By its ending: .csv, or else .yaml or .yml. cells: how many there are. InvalidInventoryException names file and
-     * line.
+     * Reads a file as CSV if its name ends with .csv, otherwise as YAML. cellCount: the number of cells; the cell of a
+     * host must be lower.
      */
-    public static Inventory load(Path file, int cells) throws InvalidInventoryException, IOException {
+    public static Inventory load(Path file, int cellCount) throws InvalidInventoryException, IOException {
         try {
-            return parse(Files.readString(file), isCsv(file), cells);
+            return parse(Files.readString(file), isCsv(file), cellCount);
         } catch (InvalidInventoryException e) {
             throw new InvalidInventoryException(file, e.getMessage());
         } catch (java.nio.charset.CharacterCodingException e) {
@@ -66,25 +66,32 @@
         }
     }
 
-    public static Inventory parse(String text, boolean csv, int cells) throws InvalidInventoryException, IOException {
-        Builder hosts = new Builder(cells);
+    /** Parses CSV or YAML text. */
+    public static Inventory parse(String text, boolean csv, int cellCount)
+            throws InvalidInventoryException, IOException {
+        Builder builder = new Builder(cellCount);
         if (csv) {
-            CsvInventory.parse(text, hosts);
+            CsvInventory.parse(text, builder);
         } else {
-            YamlInventory.parse(text, hosts);
+            YamlInventory.parse(text, builder);
         }
-        return hosts.build();
+        return builder.build();
     }
 
+    /** Returns the inventory as CSV or YAML text. */
     public String format(boolean csv) throws IOException {
         return csv ? CsvInventory.format(this) : YamlInventory.format(this);
     }
 
+    /** Whether the file name ends with .csv, in any case. */
     public static boolean isCsv(Path file) {
         return file.toString().toLowerCase(Locale.ROOT).endsWith(".csv");
     }
 
-    /** Text whose form nothing tells: a CSV header has columns, the first line of YAML a colon or a mark. */
+    /**
+     * Guesses the format of text without a file name: the first line of CSV has a comma, but no colon and no leading
+     * # as a first line of YAML may.
+     */
     public static boolean isCsv(String text) {
         String first = text.lines().findFirst().orElse("");
         return first.contains(",") && !first.contains(":") && !first.startsWith("#");
@@ -94,37 +101,37 @@
         return hosts.stream().map(Host::toReaderEntry).toList();
     }
 
-    /** Collects hosts and checks each where it stands. */
+    /** Collects hosts and validates each as it is added, so that errors name its line. */
     static final class Builder {
-        private final int cells;
+        private final int cellCount;
         private final List<Host> hosts = new ArrayList<>();
-        private final Map<String, Long> lines = new HashMap<>();
-        private final Map<String, Long> addresses = new HashMap<>();
+        private final Map<String, Long> lineById = new HashMap<>();
+        private final Map<String, Long> lineByAddress = new HashMap<>();
 
-        Builder(int cells) {
-            this.cells = cells;
+        Builder(int cellCount) {
+            this.cellCount = cellCount;
         }
 
         void add(long line, String id, String group, Map<String, String> variables) throws InvalidInventoryException {
             if (id.isBlank()) {
                 throw new InvalidInventoryException(line, "a host has no id");
             }
-            Long first = lines.putIfAbsent(id, line);
-            if (first != null) {
-                throw new InvalidInventoryException(line, "duplicate id " + id + ", first on line " + first);
+            Long earlierLine = lineById.putIfAbsent(id, line);
+            if (earlierLine != null) {
+                throw new InvalidInventoryException(line, "duplicate id " + id + ", first on line " + earlierLine);
             }
             String address = variables.getOrDefault(ADDRESS, "");
-            // Names are not looked up: the coordinator must never wait for an answer about one.
+            // Host names are rejected: resolving one could block the coordinator.
             if (!NetUtil.isValidIpV4Address(address) && !NetUtil.isValidIpV6Address(address)) {
                 throw new InvalidInventoryException(line, "host " + id + " has a bad address: " + ADDRESS + " "
                         + address);
             }
-            whole(line, id, PORT, variables.get(PORT), 1, 65535);
-            whole(line, id, CELL, variables.get(CELL), 0, cells - 1);
-            first = addresses.putIfAbsent(address + " " + variables.get(PORT), line);
-            if (first != null) {
+            checkInteger(line, id, PORT, variables.get(PORT), 1, 65535);
+            checkInteger(line, id, CELL, variables.get(CELL), 0, cellCount - 1);
+            earlierLine = lineByAddress.putIfAbsent(address + " " + variables.get(PORT), line);
+            if (earlierLine != null) {
                 throw new InvalidInventoryException(line, "host " + id + " has the address of the host on line "
-                        + first);
+                        + earlierLine);
             }
             String size = variables.getOrDefault(SIZE, "1");
             if (!size.matches("[0-9]{1,9}(\\.[0-9]{1,9})?") || Double.parseDouble(size) == 0) {
@@ -138,12 +145,12 @@
             hosts.add(new Host(id, group.isBlank() ? UNGROUPED : group, new TreeMap<>(variables)));
         }
 
-        private static void whole(long line, String id, String name, String value, int least, int most)
+        private static void checkInteger(long line, String id, String name, String value, int min, int max)
                 throws InvalidInventoryException {
-            if (value == null || !value.matches("[0-9]{1,5}") || Integer.parseInt(value) < least
-                    || Integer.parseInt(value) > most) {
-                throw new InvalidInventoryException(line, "host " + id + " has a bad " + name + " (" + least + " to "
-                        + most + "): " + value);
+            if (value == null || !value.matches("[0-9]{1,5}") || Integer.parseInt(value) < min
+                    || Integer.parseInt(value) > max) {
+                throw new InvalidInventoryException(line, "host " + id + " has a bad " + name + " (" + min + " to "
+                        + max + "): " + value);
             }
         }
 
--- a/coordinator/src/main/java/burlford/inventory/YamlInventory.java
+++ b/coordinator/src/main/java/burlford/inventory/YamlInventory.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 
 /**
- * As Ansible writes it: groups with hosts, vars and children. A host's own variables go before its group's,
- * a group's before those of the groups it stands in.
+ * YAML inventory in Ansible's format: groups with hosts, vars and children. A host's variables override those of its
+ * group, and a group's variables override those of the groups that contain it.
  */
 final class YamlInventory {
 
-    /** A value and the line it began on: a word (null for none) or a mapping. */
-    private record Node(long line, String word, Map<String, Node> fields) { }
+    /** A value and the line on which it begins: a scalar (null if empty) or, where fields is not null, a mapping. */
+    private record Node(long line, String scalar, Map<String, Node> fields) { }
 
     private YamlInventory() { }
 
@@ -28,9 +28,9 @@
             if (first == null) {
                 throw new Inventory.InvalidInventoryException(1, "there is no inventory");
             }
-            Node root = node(parser, first);
-            for (Map.Entry<String, Node> group : mapping(root, "the inventory").entrySet()) {
-                group(builder, group.getKey(), group.getValue(), Map.of());
+            Node root = readNode(parser, first);
+            for (Map.Entry<String, Node> group : requireMapping(root, "the inventory").entrySet()) {
+                addGroup(builder, group.getKey(), group.getValue(), Map.of());
             }
         } catch (JsonProcessingException e) {
             throw new Inventory.InvalidInventoryException(e.getLocation() == null ? 1 : e.getLocation().getLineNr(),
@@ -38,20 +38,20 @@
         }
     }
 
-    private static Node node(YAMLParser parser, JsonToken token) throws Inventory.InvalidInventoryException,
+    private static Node readNode(YAMLParser parser, JsonToken token) throws Inventory.InvalidInventoryException,
             IOException {
         long line = parser.currentTokenLocation().getLineNr();
         if (token == JsonToken.START_OBJECT) {
             Map<String, Node> fields = new LinkedHashMap<>();
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
-                long at = parser.currentTokenLocation().getLineNr();
+                long fieldLine = parser.currentTokenLocation().getLineNr();
                 String name = parser.currentName();
                 if (fields.containsKey(name)) {
-                    throw new Inventory.InvalidInventoryException(at, "duplicate id " + name + ", first on line "
+                    throw new Inventory.InvalidInventoryException(fieldLine, "duplicate id " + name + ", first on line "
                             + fields.get(name).line);
                 }
-                Node value = node(parser, parser.nextToken());
-                fields.put(name, new Node(at, value.word, value.fields));
+                Node value = readNode(parser, parser.nextToken());
+                fields.put(name, new Node(fieldLine, value.scalar, value.fields));
             }
             return new Node(line, null, fields);
         }
@@ -61,56 +61,58 @@
         return new Node(line, token == JsonToken.VALUE_NULL ? null : parser.getText(), null);
     }
 
-    private static Map<String, Node> mapping(Node node, String what) throws Inventory.InvalidInventoryException {
-        if (node.fields == null && node.word != null) {
-            throw new Inventory.InvalidInventoryException(node.line, what + " is not a mapping");
+    private static Map<String, Node> requireMapping(Node node, String description)
+            throws Inventory.InvalidInventoryException {
+        if (node.fields == null && node.scalar != null) {
+            throw new Inventory.InvalidInventoryException(node.line, description + " is not a mapping");
         }
         return node.fields == null ? Map.of() : node.fields;
     }
 
-    private static void group(Inventory.Builder builder, String name, Node group, Map<String, String> outer)
+    private static void addGroup(Inventory.Builder builder, String name, Node group, Map<String, String> outerVariables)
             throws Inventory.InvalidInventoryException {
-        Map<String, Node> fields = mapping(group, "group " + name);
+        Map<String, Node> fields = requireMapping(group, "group " + name);
         for (Map.Entry<String, Node> f : fields.entrySet()) {
             if (!f.getKey().equals("hosts") && !f.getKey().equals("vars") && !f.getKey().equals("children")) {
                 throw new Inventory.InvalidInventoryException(f.getValue().line, "group " + name
                         + " has the unknown key " + f.getKey());
             }
         }
-        Map<String, String> inner = new TreeMap<>(outer);
+        Map<String, String> groupVariables = new TreeMap<>(outerVariables);
         if (fields.containsKey("vars")) {
-            variables(inner, fields.get("vars"), "vars of group " + name);
+            overrideVariables(groupVariables, fields.get("vars"), "vars of group " + name);
         }
         if (fields.containsKey("hosts")) {
-            for (Map.Entry<String, Node> h : mapping(fields.get("hosts"), "hosts of group " + name).entrySet()) {
-                Map<String, String> own = new TreeMap<>(inner);
-                variables(own, h.getValue(), "host " + h.getKey());
-                builder.add(h.getValue().line, h.getKey(), name.equals("all") ? "" : name, own);
+            for (Map.Entry<String, Node> h : requireMapping(fields.get("hosts"), "hosts of group " + name).entrySet()) {
+                Map<String, String> hostVariables = new TreeMap<>(groupVariables);
+                overrideVariables(hostVariables, h.getValue(), "host " + h.getKey());
+                builder.add(h.getValue().line, h.getKey(), name.equals("all") ? "" : name, hostVariables);
             }
         }
         if (fields.containsKey("children")) {
-            for (Map.Entry<String, Node> c : mapping(fields.get("children"), "children of group " + name).entrySet()) {
-                group(builder, c.getKey(), c.getValue(), inner);
+            for (Map.Entry<String, Node> c
+                    : requireMapping(fields.get("children"), "children of group " + name).entrySet()) {
+                addGroup(builder, c.getKey(), c.getValue(), groupVariables);
             }
         }
     }
 
-    private static void variables(Map<String, String> into, Node from, String what)
+    private static void overrideVariables(Map<String, String> variables, Node node, String description)
             throws Inventory.InvalidInventoryException {
-        for (Map.Entry<String, Node> v : mapping(from, what).entrySet()) {
+        for (Map.Entry<String, Node> v : requireMapping(node, description).entrySet()) {
             if (v.getValue().fields != null) {
-                throw new Inventory.InvalidInventoryException(v.getValue().line, what + ": " + v.getKey()
+                throw new Inventory.InvalidInventoryException(v.getValue().line, description + ": " + v.getKey()
                         + " is not a plain value");
             }
-            if (v.getValue().word == null || v.getValue().word.isEmpty()) {
-                into.remove(v.getKey());
+            if (v.getValue().scalar == null || v.getValue().scalar.isEmpty()) {
+                variables.remove(v.getKey());
             } else {
-                into.put(v.getKey(), v.getValue().word.trim());
+                variables.put(v.getKey(), v.getValue().scalar.trim());
             }
         }
     }
 
-    /** Each host with all its variables, under its group. */
+    /** Returns YAML text that lists each host under its group, with all its variables. */
     static String format(Inventory inventory) throws IOException {
         Map<String, Map<String, Map<String, String>>> groups = new LinkedHashMap<>();
         inventory.hosts().forEach(h -> groups.computeIfAbsent(h.group(), g -> new LinkedHashMap<>())
--- a/coordinator/src/main/java/burlford/inventory/package-info.java
+++ b/coordinator/src/main/java/burlford/inventory/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Lists of readers as configuration tools keep them, CSV and YAML. May use {@code core} and {@code policy}.
+ * Reader lists in the formats of configuration tools, CSV and YAML. May use {@code core} and {@code policy}.
  */
 package burlford.inventory;
--- a/coordinator/src/main/java/burlford/store/LogFile.java
+++ b/coordinator/src/main/java/burlford/store/LogFile.java
@@ -27,28 +27,30 @@
 import java.util.zip.CRC32C;
 
 /**
- * A member's durable log: one file of records, each a length, a checksum and JSON. What was cut short by a
- * crash can only be the last record, and nothing was promised of it: it is cut off. A record that is damaged
- * anywhere else may have been promised, so the member does not start on it.
+ * A member's durable log: a file of records, each with a length, a checksum (CRC-32C) and a payload, which is either
+ * a model as JSON or a removal of earlier records as text. A crash can leave only the last record incomplete, and a
+ * record that was not synced was not acknowledged, so an incomplete last record is truncated. A record damaged
+ * anywhere else may have been acknowledged, so the member does not start.
  */
 final class LogFile implements RaftStore, AutoCloseable {
 
     private static final Logger LOG = Logger.getLogger(LogFile.class.getName());
-    private static final int HEAD = 8;
-    private static final int LONGEST = 1 << 26;
-    private static final String FROM = "from ";
-    private static final String UNTIL = "until ";
-    private static final String DROP = "drop ";
+    /** Length and checksum, 4 bytes each. */
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 1 << 26;
+    private static final String TRUNCATE_FROM = "from ";
+    private static final String TRUNCATE_UNTIL = "until ";
+    private static final String DELETE_CHUNKS = "drop ";
 
     private final Path path;
     private final Opener opener;
     private FileChannel file;
-    /** Where the next record goes. */
-    private long end;
-    /** A write failed: behind the end there may be a part of a record. */
-    private boolean brokenTail;
-    /** Records since the last sync that succeeded. */
-    private final ByteArrayOutputStream unsynced = new ByteArrayOutputStream();
+    /** File offset at which the next record is written. */
+    private long endOffset;
+    /** The last write failed, so part of a record may follow {@code endOffset}. */
+    private boolean partialTail;
+    /** Records written since the last successful sync; written again if a sync fails. */
+    private final ByteArrayOutputStream unsyncedBytes = new ByteArrayOutputStream();
     private boolean syncFailed;
     private RaftEndpointPersistentState endpoint;
     private RaftGroupMembersView members;
@@ -56,7 +58,7 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
-    /** How the file is opened. */
+    /** Opens the file; tests substitute one whose writes and syncs fail. */
     interface Opener {
         FileChannel open(Path path) throws IOException;
     }
@@ -74,27 +76,29 @@
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(path));
-        int at = 0;
-        while (at < all.limit()) {
-            int left = all.limit() - at - HEAD;
-            int length = left < 0 ? -1 : all.getInt(at);
-            boolean whole = length >= 0 && length <= left;
-            if (whole && checksum(all.array(), at + HEAD, length) == all.getInt(at + 4)) {
+        ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(path));
+        int offset = 0;
+        while (offset < content.limit()) {
+            int remaining = content.limit() - offset - HEADER_BYTES;
+            int length = remaining < 0 ? -1 : content.getInt(offset);
+            boolean complete = length >= 0 && length <= remaining;
+            if (complete && checksum(content.array(), offset + HEADER_BYTES, length) == content.getInt(offset + 4)) {
                 byte[] record = new byte[length];
-                all.get(at + HEAD, record);
+                content.get(offset + HEADER_BYTES, record);
                 apply(record);
-                at += HEAD + length;
-            } else if (length > LONGEST || length < -1 || whole && at + HEAD + length < all.limit()) {
-                throw new IOException(path + " is damaged at byte " + at + "; its records may have been promised");
+                offset += HEADER_BYTES + length;
+            } else if (length > MAX_RECORD_BYTES || length < -1
+                    || complete && offset + HEADER_BYTES + length < content.limit()) {
+                throw new IOException(path + " is damaged at byte " + offset
+                        + "; its records may have been acknowledged");
             } else {
-                LOG.log(Level.WARNING, "{0}: a record cut short at byte {1} is cut off", new Object[] {path, at});
-                file.truncate(at);
+                LOG.log(Level.WARNING, "{0}: truncated an incomplete record at byte {1}", new Object[] {path, offset});
+                file.truncate(offset);
                 file.force(true);
                 break;
             }
         }
-        end = at;
+        endOffset = offset;
     }
 
     private void apply(byte[] record) throws IOException {
@@ -115,65 +119,65 @@
         }
         String text = new String(record, StandardCharsets.UTF_8);
         long index = Long.parseLong(text.substring(text.indexOf(' ') + 1));
-        if (text.startsWith(FROM)) {
+        if (text.startsWith(TRUNCATE_FROM)) {
             entries.tailMap(index, true).clear();
-        } else if (text.startsWith(UNTIL)) {
+        } else if (text.startsWith(TRUNCATE_UNTIL)) {
             entries.headMap(index, true).clear();
         } else {
             chunks.remove(index);
         }
     }
 
-    /** Null for a member that has never run. */
+    /** The Raft state read from the file at start; null for a member that has never run. */
     RestoredRaftState restoredState() {
         if (endpoint == null || members == null) {
             return null;
         }
         SnapshotEntry snapshot = null;
-        for (TreeMap<Integer, SnapshotChunk> held : chunks.values()) {
-            SnapshotChunk first = held.firstEntry().getValue();
-            if (held.size() == first.getSnapshotChunkCount()) {
+        for (TreeMap<Integer, SnapshotChunk> snapshotChunks : chunks.values()) {
+            SnapshotChunk first = snapshotChunks.firstEntry().getValue();
+            if (snapshotChunks.size() == first.getSnapshotChunkCount()) {
                 snapshot = new DefaultRaftModelFactory().createSnapshotEntryBuilder().setIndex(first.getIndex())
-                        .setTerm(first.getTerm()).setSnapshotChunks(new ArrayList<>(held.values()))
+                        .setTerm(first.getTerm()).setSnapshotChunks(new ArrayList<>(snapshotChunks.values()))
                         .setGroupMembersView(first.getGroupMembersView()).build();
             }
         }
-        long after = snapshot == null ? 0 : snapshot.getIndex();
-        RaftTermPersistentState last = term != null ? term : new DefaultRaftModelFactory()
+        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+        RaftTermPersistentState persistedTerm = term != null ? term : new DefaultRaftModelFactory()
                 .createRaftTermPersistentStateBuilder().setTerm(0).build();
-        return new RestoredRaftState(endpoint, members, last, snapshot,
-                new ArrayList<>(entries.tailMap(after, false).values()));
+        return new RestoredRaftState(endpoint, members, persistedTerm, snapshot,
+                new ArrayList<>(entries.tailMap(snapshotIndex, false).values()));
     }
 
     private void append(byte[] record) throws IOException {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + record.length).putInt(record.length)
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + record.length).putInt(record.length)
                 .putInt(checksum(record, 0, record.length)).put(record).flip();
-        if (brokenTail) {
-            file.truncate(end);
+        if (partialTail) {
+            file.truncate(endOffset);
         }
-        brokenTail = true;
-        write(b.duplicate(), end);
-        brokenTail = false;
-        end += b.limit();
-        unsynced.write(b.array(), 0, b.limit());
+        partialTail = true;
+        write(buffer.duplicate(), endOffset);
+        partialTail = false;
+        endOffset += buffer.limit();
+        unsyncedBytes.write(buffer.array(), 0, buffer.limit());
         apply(record);
     }
 
-    private void write(ByteBuffer bytes, long at) throws IOException {
-        long to = at;
+    private void write(ByteBuffer bytes, long offset) throws IOException {
+        long position = offset;
         while (bytes.hasRemaining()) {
-            to += file.write(bytes, to);
+            position += file.write(bytes, position);
         }
     }
 
-    private static int checksum(byte[] bytes, int from, int length) {
+    private static int checksum(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, from, length);
+        crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
-    private void append(String word, long index) throws IOException {
-        append((word + index).getBytes(StandardCharsets.UTF_8));
+    private void append(String operation, long index) throws IOException {
+        append((operation + index).getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
@@ -195,9 +199,9 @@
     }
 
     @Override
-    public void persistLogEntries(List<LogEntry> list) throws IOException {
-        for (LogEntry e : list) {
-            append(RaftCodec.encode(e));
+    public void persistLogEntries(List<LogEntry> logEntries) throws IOException {
+        for (LogEntry entry : logEntries) {
+            append(RaftCodec.encode(entry));
         }
     }
 
@@ -208,37 +212,40 @@
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        append(FROM, index);
+        append(TRUNCATE_FROM, index);
     }
 
-    /** What a snapshot stands for goes; the file is written anew without it, and takes the old one's place whole. */
+    /**
+     * Drops the entries that a snapshot replaces: writes the remaining records to a new file, which then replaces the
+     * old one atomically. If that fails, the old file stays in use.
+     */
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        append(UNTIL, index);
+        append(TRUNCATE_UNTIL, index);
         flush();
-        FileChannel old = file;
-        long oldEnd = end;
-        Path fresh = path.resolveSibling(path.getFileName() + ".new");
-        Files.deleteIfExists(fresh);
+        FileChannel oldFile = file;
+        long oldEndOffset = endOffset;
+        Path newPath = path.resolveSibling(path.getFileName() + ".new");
+        Files.deleteIfExists(newPath);
         try {
-            file = opener.open(fresh);
-            end = 0;
+            file = opener.open(newPath);
+            endOffset = 0;
             rewrite();
-            Files.move(fresh, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(newPath, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            LOG.log(Level.WARNING, path + " could not be written anew, and goes on as it is", e);
-            file = old;
-            end = oldEnd;
-            brokenTail = false;
+            LOG.log(Level.WARNING, path + " could not be compacted; the existing file stays in use", e);
+            file = oldFile;
+            endOffset = oldEndOffset;
+            partialTail = false;
             syncFailed = false;
-            unsynced.reset();
+            unsyncedBytes.reset();
             return;
         }
         syncDirectory();
-        old.close();
+        oldFile.close();
     }
 
-    /** The new name has to last as long as what is synced under it from here on. */
+    /** Makes the rename durable: otherwise a crash could lose the records synced to the renamed file. */
     private void syncDirectory() throws IOException {
         try (FileChannel directory = FileChannel.open(path.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             directory.force(true);
@@ -246,15 +253,15 @@
     }
 
     private void rewrite() throws IOException {
-        List<RaftModel> kept = new ArrayList<>();
+        List<RaftModel> models = new ArrayList<>();
         for (RaftModel model : new RaftModel[] {endpoint, members, term}) {
             if (model != null) {
-                kept.add(model);
+                models.add(model);
             }
         }
-        chunks.values().forEach(c -> kept.addAll(c.values()));
-        kept.addAll(entries.values());
-        for (RaftModel model : kept) {
+        chunks.values().forEach(c -> models.addAll(c.values()));
+        models.addAll(entries.values());
+        for (RaftModel model : models) {
             append(RaftCodec.encode(model));
         }
         flush();
@@ -262,19 +269,22 @@
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        append(DROP, index);
+        append(DELETE_CHUNKS, index);
     }
 
-    /** After a failed sync the system may take for written what never reached the disk: it is written again. */
+    /**
+     * Syncs the file. After a failed sync the operating system may mark pages as clean that never reached the disk, so
+     * the next flush first writes all records since the last successful sync again.
+     */
     @Override
     public void flush() throws IOException {
         if (syncFailed) {
-            write(ByteBuffer.wrap(unsynced.toByteArray()), end - unsynced.size());
+            write(ByteBuffer.wrap(unsyncedBytes.toByteArray()), endOffset - unsyncedBytes.size());
         }
         syncFailed = true;
         file.force(false);
         syncFailed = false;
-        unsynced.reset();
+        unsyncedBytes.reset();
     }
 
     @Override
--- a/coordinator/src/main/java/burlford/store/Member.java
+++ b/coordinator/src/main/java/burlford/store/Member.java
@@ -2,7 +2,7 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A member of the store by its name. */
+/** A member of the store, identified by its name. */
 record Member(String name) implements RaftEndpoint {
 
     @Override
--- a/coordinator/src/main/java/burlford/store/MemberTransport.java
+++ b/coordinator/src/main/java/burlford/store/MemberTransport.java
@@ -30,22 +30,22 @@
 import java.util.logging.Logger;
 
 /**
- * Messages between the members: a length and JSON, over one connection each way. What cannot be delivered is
- * dropped, as the consensus expects; the next message opens the connection again.
+ * Carries Raft messages between the members as length-prefixed JSON, over one connection in each direction.
+ * Messages that cannot be delivered are dropped, which Raft tolerates; the next message reopens the connection.
  */
 final class MemberTransport implements Transport {
 
     // Name kept for existing logging configurations.
     private static final Logger LOG = Logger.getLogger("burlford.store.Peers");
-    private static final int LONGEST = 1 << 26;
+    private static final int MAX_MESSAGE_BYTES = 1 << 26;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final Map<String, InetSocketAddress> addresses;
     private final Map<String, Channel> channels = new HashMap<>();
     private final Set<String> reachable = ConcurrentHashMap.newKeySet();
-    /** Closed with the rest: a member that only stopped listening would swallow what others still send. */
-    private final ChannelGroup accepted;
+    /** Accepted connections, closed by {@code close}: else a stopped member would receive and discard messages. */
+    private final ChannelGroup acceptedChannels;
     private Channel listener;
     private boolean closed;
 
@@ -53,22 +53,23 @@
         this.loop = loop;
         this.bootstrap = bootstrap;
         this.addresses = addresses;
-        accepted = new DefaultChannelGroup(loop);
+        acceptedChannels = new DefaultChannelGroup(loop);
     }
 
-    ChannelFuture listen(ServerBootstrap server, InetSocketAddress at, Consumer<RaftMessage> receiver) {
+    ChannelFuture listen(ServerBootstrap server, InetSocketAddress address, Consumer<RaftMessage> receiver) {
         ChannelFuture bound = server.childHandler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel c) {
-                accepted.add(c);
-                c.pipeline().addLast(new LengthFieldBasedFrameDecoder(LONGEST, 0, 4, 0, 4), receive(receiver));
+                acceptedChannels.add(c);
+                c.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, 4, 0, 4),
+                        inboundHandler(receiver));
             }
-        }).bind(at);
+        }).bind(address);
         listener = bound.channel();
         return bound;
     }
 
-    private ChannelHandler receive(Consumer<RaftMessage> receiver) {
+    private ChannelHandler inboundHandler(Consumer<RaftMessage> receiver) {
         return new SimpleChannelInboundHandler<ByteBuf>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) throws IOException {
@@ -77,13 +78,13 @@
                 if (RaftCodec.decode(bytes) instanceof RaftMessage m && addresses.containsKey(m.getSender().getId())) {
                     receiver.accept(m);
                 } else {
-                    throw new IOException("not from a member");
+                    throw new IOException("not a message of a known member");
                 }
             }
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                LOG.log(Level.FINE, "store: a peer's connection ended", cause);
+                LOG.log(Level.FINE, "store: connection to a member ended", cause);
                 ctx.close();
             }
         };
@@ -98,16 +99,16 @@
         if (closed) {
             return;
         }
-        Channel c = channels.get(to);
-        if (c == null || !c.isOpen()) {
-            c = connect(to);
+        Channel channel = channels.get(to);
+        if (channel == null || !channel.isOpen()) {
+            channel = connect(to);
         }
-        // What comes while the connection opens is dropped: the sender says it again.
-        if (c != null && c.isActive()) {
+        // Messages are dropped while the connection is being opened: Raft repeats them.
+        if (channel != null && channel.isActive()) {
             try {
-                c.writeAndFlush(Unpooled.wrappedBuffer(RaftCodec.encode(message)));
+                channel.writeAndFlush(Unpooled.wrappedBuffer(RaftCodec.encode(message)));
             } catch (IOException e) {
-                LOG.log(Level.SEVERE, "store: cannot write " + message, e);
+                LOG.log(Level.SEVERE, "store: cannot encode " + message, e);
             }
         }
     }
@@ -115,7 +116,7 @@
     private Channel connect(String to) {
         Channel channel = Connector.connect(bootstrap, addresses.get(to), () -> reachable.add(to),
                 cause -> LOG.log(Level.FINE, "store: no connection to " + to, cause), new LengthFieldPrepender(4),
-                receive(m -> { }));
+                inboundHandler(m -> { }));
         if (channel == null) {
             channels.remove(to);
             return null;
@@ -133,7 +134,7 @@
     void close() {
         closed = true;
         channels.values().forEach(Channel::close);
-        accepted.close();
+        acceptedChannels.close();
         if (listener != null) {
             listener.close();
         }
--- a/coordinator/src/main/java/burlford/store/MemoryStore.java
+++ b/coordinator/src/main/java/burlford/store/MemoryStore.java
@@ -6,7 +6,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** The store of a single member that keeps nothing: what runs on the platform. It opens no socket. */
+/** In-memory store with a single member, as used on the platform. It writes no files and opens no sockets. */
 public final class MemoryStore implements Store {
 
     private final String member;
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public void put(String key, long from, String value, Consumer<WriteResult> done) {
-        WriteResult written = state.apply(VersionedMap.encodeWrite(key, from, value)).writeResult();
-        if (written.outcome() == Outcome.STORED) {
+    public void put(String key, long expectedVersion, String value, Consumer<WriteResult> done) {
+        WriteResult result = state.apply(VersionedMap.encodeWrite(key, expectedVersion, value)).writeResult();
+        if (result.outcome() == Outcome.STORED) {
             watchers.forEach(w -> w.accept(key, get(key)));
         }
-        done.accept(written);
+        done.accept(result);
     }
 
     @Override
@@ -48,6 +48,6 @@
 
     @Override
     public void close() {
-        // nothing is held
+        // no resources to release
     }
 }
--- a/coordinator/src/main/java/burlford/store/RaftCodec.java
+++ b/coordinator/src/main/java/burlford/store/RaftCodec.java
@@ -30,8 +30,8 @@
 import java.util.List;
 
 /**
- * The consensus library's messages and records as JSON. Each has a builder whose setters mirror its getters,
- * so one walk over the setters writes and reads them all. Operations are text.
+ * Converts MicroRaft's messages and log records to and from JSON. Each model type has a builder whose setters mirror
+ * its getters, so all types are converted by reflection over the setters. Operations are strings.
  */
 final class RaftCodec {
 
@@ -46,24 +46,24 @@
     private RaftCodec() { }
 
     static byte[] encode(RaftModel model) throws IOException {
-        return JSON.writeValueAsBytes(write(model));
+        return JSON.writeValueAsBytes(toJson(model));
     }
 
-    /** Bytes that are no such message are an IOException, whoever sent them. */
+    /** Throws IOException for bytes that are not a valid model, whoever sent them. */
     static RaftModel decode(byte[] bytes) throws IOException {
         try {
-            return read(JSON.readTree(bytes));
+            return fromJson(JSON.readTree(bytes));
         } catch (RuntimeException e) {
             throw new IOException("not a message of the store: " + e, e);
         }
     }
 
-    private static Class<? extends RaftModel> type(RaftModel model) {
+    private static Class<? extends RaftModel> modelType(RaftModel model) {
         return TYPES.stream().filter(t -> t.isInstance(model)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no form for " + model));
+                .orElseThrow(() -> new IllegalArgumentException("no JSON form for " + model));
     }
 
-    private static Object builder(Class<?> type) throws ReflectiveOperationException {
+    private static Object newBuilder(Class<?> type) throws ReflectiveOperationException {
         return FACTORY.getClass().getMethod("create" + type.getSimpleName() + "Builder").invoke(FACTORY);
     }
 
@@ -77,15 +77,15 @@
         return setters;
     }
 
-    private static JsonNode write(Object value) {
+    private static JsonNode toJson(Object value) {
         if (value instanceof RaftModel model) {
-            Class<? extends RaftModel> type = type(model);
+            Class<? extends RaftModel> type = modelType(model);
             ObjectNode node = JSON.createObjectNode().put("type", type.getSimpleName());
             try {
                 for (Method setter : setters(type)) {
                     String name = setter.getName().substring(3);
                     String prefix = setter.getParameterTypes()[0] == boolean.class ? "is" : "get";
-                    node.set(name, write(type.getMethod(prefix + name).invoke(model)));
+                    node.set(name, toJson(type.getMethod(prefix + name).invoke(model)));
                 }
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException("the library's " + type + " has changed", e);
@@ -94,23 +94,23 @@
         }
         if (value instanceof Collection<?> all) {
             ArrayNode list = JSON.createArrayNode();
-            all.forEach(v -> list.add(write(v)));
+            all.forEach(v -> list.add(toJson(v)));
             return list;
         }
         return value == null ? JsonNodeFactory.instance.nullNode()
                 : JSON.valueToTree(value instanceof RaftEndpoint e ? e.getId() : value);
     }
 
-    private static RaftModel read(JsonNode node) {
+    private static RaftModel fromJson(JsonNode node) {
         Class<? extends RaftModel> type = TYPES.stream()
                 .filter(t -> t.getSimpleName().equals(node.path("type").asText())).findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("unknown type " + node.path("type")));
         try {
-            Object builder = builder(type);
+            Object builder = newBuilder(type);
             for (Method setter : setters(type)) {
                 String name = setter.getName().substring(3);
                 setter.setAccessible(true);
-                setter.invoke(builder, value(node.get(name), name, setter.getParameterTypes()[0]));
+                setter.invoke(builder, toArgument(node.get(name), name, setter.getParameterTypes()[0]));
             }
             Method build = Class.forName(type.getName() + "$" + type.getSimpleName() + "Builder").getMethod("build");
             return (RaftModel) build.invoke(builder);
@@ -119,7 +119,7 @@
         }
     }
 
-    private static Object value(JsonNode node, String name, Class<?> type) {
+    private static Object toArgument(JsonNode node, String name, Class<?> type) {
         if (type == int.class) {
             return node.intValue();
         }
@@ -137,9 +137,9 @@
         }
         if (Collection.class.isAssignableFrom(type)) {
             List<Object> all = new ArrayList<>();
-            node.forEach(n -> all.add(name.equals("LogEntries") ? read(n) : new Member(n.textValue())));
+            node.forEach(n -> all.add(name.equals("LogEntries") ? fromJson(n) : new Member(n.textValue())));
             return all;
         }
-        return node.isObject() ? read(node) : node.textValue();
+        return node.isObject() ? fromJson(node) : node.textValue();
     }
 }
--- a/coordinator/src/main/java/burlford/store/ReplicatedStore.java
+++ b/coordinator/src/main/java/burlford/store/ReplicatedStore.java
@@ -29,41 +29,42 @@
 import java.util.logging.Logger;
 
 /**
- * The store of several members: MicroRaft keeps their logs alike. Its node runs on a thread of its own, since it
- * waits for the disk; the event loop never does, and queries never touch either. Its timers are deadlines
- * of the loop.
+ * A store replicated to several members by MicroRaft. The Raft node runs on its own thread, since it waits for the
+ * disk and the event loop must not; queries use neither the node nor the disk. Delayed tasks of the node are
+ * scheduled with the event loop's timers.
  */
 public final class ReplicatedStore implements Store {
 
     private static final Logger LOG = Logger.getLogger(ReplicatedStore.class.getName());
+    /** Operation that a new leader commits to start its term; it changes no key. */
     private static final String NEW_TERM = "";
-    private static final long PATIENCE = 10_000_000;
+    private static final long WRITE_TIMEOUT_US = 10_000_000;
 
     private final EventLoop loop;
-    private final Timers deadlines;
+    private final Timers timers;
     private final LongSupplier clock;
     private final Member member;
     private final LogFile log;
-    private final MemberTransport peers;
+    private final MemberTransport transport;
     private final RaftNode node;
     private final ExecutorService thread = Executors.newSingleThreadExecutor(r -> new Thread(r, "store"));
     private final List<BiConsumer<String, Entry>> watchers = new ArrayList<>();
-    /** This member's committed copy, as the loop knows it. */
-    private final Map<String, Entry> copy = new TreeMap<>();
+    /** This member's committed entries; used only on the event loop. */
+    private final Map<String, Entry> committedEntries = new TreeMap<>();
     private boolean closed;
 
-    public ReplicatedStore(EventLoop loop, Bootstrap bootstrap, Timers deadlines, LongSupplier clock, String name,
+    public ReplicatedStore(EventLoop loop, Bootstrap bootstrap, Timers timers, LongSupplier clock, String name,
             Path directory, Map<String, InetSocketAddress> members) throws IOException {
         this.loop = loop;
-        this.deadlines = deadlines;
+        this.timers = timers;
         this.clock = clock;
         member = new Member(name);
         log = new LogFile(Files.createDirectories(directory).resolve(name + ".log"));
-        peers = new MemberTransport(loop, bootstrap, members);
+        transport = new MemberTransport(loop, bootstrap, members);
         RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(3)
                 .setLeaderElectionTimeoutMillis(500).setCommitCountToTakeSnapshot(1000).build();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("burlford").setConfig(config)
-                .setTransport(peers).setStateMachine(new StoreStateMachine()).setStore(log)
+                .setTransport(transport).setStateMachine(new StoreStateMachine()).setStore(log)
                 .setExecutor(new StoreThreadExecutor());
         if (log.restoredState() != null) {
             builder.setRestoredState(log.restoredState());
@@ -74,27 +75,27 @@
         node = builder.build();
     }
 
-    /** Listens to the other members, then joins them. */
-    public ChannelFuture start(ServerBootstrap server, InetSocketAddress at) {
-        ChannelFuture bound = peers.listen(server, at, node::handle);
+    /** Listens for the other members, then starts the Raft node. */
+    public ChannelFuture start(ServerBootstrap server, InetSocketAddress address) {
+        ChannelFuture bound = transport.listen(server, address, node::handle);
         node.start();
         return bound;
     }
 
     @Override
-    public void put(String key, long from, String value, Consumer<WriteResult> done) {
-        boolean[] told = new boolean[1];
+    public void put(String key, long expectedVersion, String value, Consumer<WriteResult> done) {
+        boolean[] notified = new boolean[1];
         Consumer<WriteResult> once = w -> {
-            if (!told[0]) {
-                told[0] = true;
+            if (!notified[0]) {
+                notified[0] = true;
                 done.accept(w);
             }
         };
-        Timers.Timer patience = deadlines.schedule(clock.getAsLong() + PATIENCE, () -> once.accept(
+        Timers.Timer timeout = timers.schedule(clock.getAsLong() + WRITE_TIMEOUT_US, () -> once.accept(
                 new WriteResult(Outcome.REFUSED, 0, "no majority answers; the write may yet be made")));
-        node.<WriteResult>replicate(VersionedMap.encodeWrite(key, from, value)).whenComplete((ordered, failure) ->
-                loop.execute(() -> {
-                    deadlines.cancel(patience);
+        node.<WriteResult>replicate(VersionedMap.encodeWrite(key, expectedVersion, value)).whenComplete(
+                (ordered, failure) -> loop.execute(() -> {
+                    timers.cancel(timeout);
                     once.accept(failure == null ? result(ordered) : new WriteResult(Outcome.REFUSED, 0,
                             failure.getClass().getSimpleName() + "; leader: " + leader()));
                 }));
@@ -117,7 +118,7 @@
 
     @Override
     public Map<String, Entry> entries() {
-        return copy;
+        return committedEntries;
     }
 
     @Override
@@ -128,28 +129,28 @@
     @Override
     public void close() {
         closed = true;
-        peers.close();
+        transport.close();
         thread.shutdownNow();
         try {
             if (thread.awaitTermination(5, TimeUnit.SECONDS)) {
                 log.close();
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "store: " + e.getMessage());
+            LOG.log(Level.WARNING, "store: cannot close the log file: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void committed(Map<String, Entry> entries) {
+    private void applyCommitted(Map<String, Entry> entries) {
         entries.forEach((key, entry) -> {
-            if (!entry.equals(copy.put(key, entry))) {
+            if (!entry.equals(committedEntries.put(key, entry))) {
                 watchers.forEach(w -> w.accept(key, entry));
             }
         });
     }
 
-    /** The replicated state; on the store's thread. */
+    /** The replicated state machine; runs on the store's thread and reports committed entries to the event loop. */
     private final class StoreStateMachine implements StateMachine {
         private final VersionedMap map = new VersionedMap();
 
@@ -161,7 +162,7 @@
             VersionedMap.ApplyResult applied = map.apply((String) operation);
             if (applied.writeResult().outcome() == Outcome.STORED) {
                 Map<String, Entry> one = Map.of(applied.key(), map.entries().get(applied.key()));
-                loop.execute(() -> committed(one));
+                loop.execute(() -> applyCommitted(one));
             }
             return applied.writeResult();
         }
@@ -175,7 +176,7 @@
         public void installSnapshot(long index, List<Object> chunks) {
             map.restore((String) chunks.get(0));
             Map<String, Entry> all = new TreeMap<>(map.entries());
-            loop.execute(() -> committed(all));
+            loop.execute(() -> applyCommitted(all));
         }
 
         @Override
@@ -184,6 +185,7 @@
         }
     }
 
+    /** Runs the Raft node's tasks on the store's thread, delayed ones after a timer of the event loop. */
     private final class StoreThreadExecutor implements RaftNodeExecutor {
 
         @Override
@@ -202,7 +204,7 @@
         public void schedule(Runnable task, long delay, TimeUnit unit) {
             loop.execute(() -> {
                 if (!closed) {
-                    deadlines.schedule(clock.getAsLong() + unit.toMicros(delay), () -> execute(task));
+                    timers.schedule(clock.getAsLong() + unit.toMicros(delay), () -> execute(task));
                 }
             });
         }
--- a/coordinator/src/main/java/burlford/store/Store.java
+++ b/coordinator/src/main/java/burlford/store/Store.java
@@ -5,35 +5,39 @@
 import java.util.function.Consumer;
 
 /**
- * A small versioned key-value store. A key's version counts its writes from 1; a write names the version it
- * was made from, 0 for a key that is not there, and one made from another is stale. Reads are of this
- * member's committed copy and return at once. All calls, and all calls back, are on the event loop.
+ * A small versioned key-value store. A key's version is the number of its writes. A write names the version that it
+ * expects, 0 for a key that does not exist; if the key has another version, the write is rejected as stale. Reads
+ * return this member's committed entries without waiting. All calls and callbacks run on the event loop.
  */
 public interface Store {
 
+    /** A value and the version of its key. */
     record Entry(long version, String value) { }
 
+    /** STALE: the key has another version than expected; REFUSED: not confirmed, though it may still be committed. */
     enum Outcome { STORED, STALE, REFUSED }
 
-    /** version: of the key now; detail: why it was refused. */
+    /** version: the key's present version, 0 if REFUSED; detail: why the write was not stored. */
     record WriteResult(Outcome outcome, long version, String detail) { }
 
-    /** Null where the key is not there. */
+    /** Returns the entry of a key, or null if there is none. */
     default Entry get(String key) {
         return entries().get(key);
     }
 
-    void put(String key, long from, String value, Consumer<WriteResult> done);
+    /** Writes a value if the key is at the expected version, and passes the result to {@code done}. */
+    void put(String key, long expectedVersion, String value, Consumer<WriteResult> done);
 
-    /** Whom to write to; null while nobody leads. */
+    /** Name of the member that accepts writes; null while there is no leader. */
     String leader();
 
+    /** Name of this member. */
     String member();
 
-    /** All that is there; not to be changed. */
+    /** All entries by key; callers must not modify the map. */
     Map<String, Entry> entries();
 
-    /** Tells of each key written, here or elsewhere, once it is committed here. */
+    /** Registers a watcher, called for each key changed through any member once this member has committed it. */
     void watch(BiConsumer<String, Entry> watcher);
 
     void close();
--- a/coordinator/src/main/java/burlford/store/StoreCommand.java
+++ b/coordinator/src/main/java/burlford/store/StoreCommand.java
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import java.time.Duration;
 
-/** The operators' commands: a request to a member's door, its answer printed. They return an exit status. */
+/** Operator commands: send a request to a member's HTTP front, print the response and return an exit status. */
 public final class StoreCommand {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(15);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(15);
 
     private StoreCommand() { }
 
@@ -27,7 +27,7 @@
 
     private static HttpRequest.Builder request(String address, String path) throws IOException {
         try {
-            return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(PATIENCE);
+            return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(REQUEST_TIMEOUT);
         } catch (IllegalArgumentException e) {
             throw new IOException("not an address and a key: " + e.getMessage());
         }
@@ -35,12 +35,12 @@
 
     private static int send(HttpRequest.Builder request) throws IOException {
         try {
-            // A member that does not lead redirects a write to the one that does.
+            // A follower redirects writes to the leader.
             HttpClient client = HttpClient.newBuilder().followRedirects(HttpClient.Redirect.NORMAL).build();
-            HttpResponse<String> answer = client.send(request.build(), BodyHandlers.ofString());
-            boolean done = answer.statusCode() == 200;
-            (done ? System.out : System.err).print(answer.body());
-            return done ? 0 : 1;
+            HttpResponse<String> response = client.send(request.build(), BodyHandlers.ofString());
+            boolean succeeded = response.statusCode() == 200;
+            (succeeded ? System.out : System.err).print(response.body());
+            return succeeded ? 0 : 1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
--- a/coordinator/src/main/java/burlford/store/StoreFront.java
+++ b/coordinator/src/main/java/burlford/store/StoreFront.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 
 /**
- * The operators' door to the store, over HTTP: GET /store (who leads, which keys at which versions), GET
- * /store/KEY, and PUT /store/KEY?from=VERSION with the value as the body, which a member that does not lead
- * passes on to the one that does by a redirect. GET /counters prints the counters.
+ * The operators' HTTP front of the store. GET /store returns the leader and the version of each key, GET /store/KEY a
+ * value. PUT /store/KEY?from=VERSION writes the body as the value; a follower redirects it to the leader. GET
+ * /counters prints the counters.
  */
 public final class StoreFront implements HttpConnection.Front {
 
-    /** Says why a value may not stand under a key, or null where it may. */
+    /** Returns why a value is not valid for a key, or null if it is valid. */
     public interface ValueValidator {
         String rejectionReason(String key, String value);
     }
@@ -30,92 +30,96 @@
     private static final String JSON = "application/json";
 
     private final Store store;
-    private final Map<String, InetSocketAddress> doors;
+    private final Map<String, InetSocketAddress> operatorAddresses;
     private final Counters counters;
-    private final ValueValidator check;
+    private final ValueValidator validator;
     private final ObjectMapper json = new ObjectMapper();
 
-    /** doors: where each member listens to operators. */
-    public StoreFront(Store store, Map<String, InetSocketAddress> doors, Counters counters, ValueValidator check) {
+    /** operatorAddresses: the address of each member's operator front, by member name. */
+    public StoreFront(Store store, Map<String, InetSocketAddress> operatorAddresses, Counters counters,
+            ValueValidator validator) {
         this.store = store;
-        this.doors = doors;
+        this.operatorAddresses = operatorAddresses;
         this.counters = counters;
-        this.check = check;
+        this.validator = validator;
     }
 
     @Override
-    public void serve(Exchange e) {
-        QueryStringDecoder uri = new QueryStringDecoder(e.uri);
+    public void serve(Exchange exchange) {
+        QueryStringDecoder uri = new QueryStringDecoder(exchange.uri);
         String path;
         Map<String, List<String>> parameters;
         try {
             path = uri.path();
             parameters = uri.parameters();
-        } catch (IllegalArgumentException x) {
-            reject(e, HttpResponseStatus.BAD_REQUEST, "malformed URI: " + x.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            reject(exchange, HttpResponseStatus.BAD_REQUEST, "malformed URI: " + malformed.getMessage());
             return;
         }
         String key = path.startsWith(PREFIX) ? path.substring(PREFIX.length()) : "";
-        if (e.method.equals(HttpMethod.PUT) && !key.isEmpty()) {
-            put(e, key, parameters.getOrDefault("from", List.of()));
-        } else if (!e.method.equals(HttpMethod.GET)) {
-            reject(e, HttpResponseStatus.METHOD_NOT_ALLOWED, path + " does not take " + e.method);
+        if (exchange.method.equals(HttpMethod.PUT) && !key.isEmpty()) {
+            put(exchange, key, parameters.getOrDefault("from", List.of()));
+        } else if (!exchange.method.equals(HttpMethod.GET)) {
+            reject(exchange, HttpResponseStatus.METHOD_NOT_ALLOWED, path + " does not take " + exchange.method);
         } else if (path.equals("/counters")) {
-            e.reply(HttpResponseStatus.OK, "text/plain", counters.text(), Map.of());
+            exchange.reply(HttpResponseStatus.OK, "text/plain", counters.text(), Map.of());
         } else if (path.equals("/store")) {
             ObjectNode body = json.createObjectNode().put("member", store.member()).put("leader", store.leader());
             ObjectNode keys = body.putObject("versions");
             store.entries().forEach((k, v) -> keys.put(k, v.version()));
-            e.reply(HttpResponseStatus.OK, JSON, body + "\n", Map.of());
+            exchange.reply(HttpResponseStatus.OK, JSON, body + "\n", Map.of());
         } else if (!key.isEmpty() && store.get(key) != null) {
             Store.Entry entry = store.get(key);
-            e.reply(HttpResponseStatus.OK, "text/plain; charset=UTF-8", entry.value(),
+            exchange.reply(HttpResponseStatus.OK, "text/plain; charset=UTF-8", entry.value(),
                     Map.of("ETag", "\"" + entry.version() + "\""));
         } else {
-            reject(e, HttpResponseStatus.NOT_FOUND, "no such path or key: " + path);
+            reject(exchange, HttpResponseStatus.NOT_FOUND, "no such path or key: " + path);
         }
     }
 
-    private void put(Exchange e, String key, List<String> from) {
-        if (from.size() != 1 || !from.get(0).matches("[0-9]{1,18}")) {
-            reject(e, HttpResponseStatus.BAD_REQUEST, "from names no version; 0 is that of a key not there yet");
+    private void put(Exchange exchange, String key, List<String> expectedVersions) {
+        if (expectedVersions.size() != 1 || !expectedVersions.get(0).matches("[0-9]{1,18}")) {
+            reject(exchange, HttpResponseStatus.BAD_REQUEST, "from names no version; 0 is that of a key not there yet");
             return;
         }
-        String value = new String(e.body, StandardCharsets.UTF_8);
-        String fault = check.rejectionReason(key, value);
-        if (fault != null) {
-            reject(e, HttpResponseStatus.BAD_REQUEST, fault);
+        String value = new String(exchange.body, StandardCharsets.UTF_8);
+        String rejection = validator.rejectionReason(key, value);
+        if (rejection != null) {
+            reject(exchange, HttpResponseStatus.BAD_REQUEST, rejection);
             return;
         }
         String leader = store.leader();
         if (leader != null && !leader.equals(store.member())) {
-            String door = NetUtil.toSocketAddressString(doors.get(leader));
-            e.reply(HttpResponseStatus.TEMPORARY_REDIRECT, "text/plain", leader + " leads, at " + door + "\n",
-                    Map.of("Location", "http://" + door + e.uri));
+            String leaderAddress = NetUtil.toSocketAddressString(operatorAddresses.get(leader));
+            exchange.reply(HttpResponseStatus.TEMPORARY_REDIRECT, "text/plain",
+                    leader + " leads, at " + leaderAddress + "\n",
+                    Map.of("Location", "http://" + leaderAddress + exchange.uri));
             return;
         }
         counters.add("store.writes");
-        store.put(key, Long.parseLong(from.get(0)), value, w -> {
-            counters.add("store.writes." + w.outcome().name().toLowerCase());
+        store.put(key, Long.parseLong(expectedVersions.get(0)), value, result -> {
+            counters.add("store.writes." + result.outcome().name().toLowerCase());
             ObjectNode body = json.createObjectNode().put("key", key);
-            switch (w.outcome()) {
-                case STORED -> e.reply(HttpResponseStatus.OK, JSON, body.put("version", w.version()) + "\n", Map.of());
-                case STALE -> e.reply(HttpResponseStatus.CONFLICT, JSON, body.put("version", w.version())
-                        .put("error", w.detail()) + "\n", Map.of());
-                case REFUSED -> e.reply(HttpResponseStatus.SERVICE_UNAVAILABLE, JSON, body.put("error", w.detail())
+            switch (result.outcome()) {
+                case STORED -> exchange.reply(HttpResponseStatus.OK, JSON,
+                        body.put("version", result.version()) + "\n", Map.of());
+                case STALE -> exchange.reply(HttpResponseStatus.CONFLICT, JSON, body.put("version", result.version())
+                        .put("error", result.detail()) + "\n", Map.of());
+                case REFUSED -> exchange.reply(HttpResponseStatus.SERVICE_UNAVAILABLE, JSON, body
+                        .put("error", result.detail())
                         .put("leader", store.leader()) + "\n", Map.of());
             }
         });
     }
 
     @Override
-    public void refuseOverloaded(Exchange e, String why) {
-        reject(e, HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
+    public void refuseOverloaded(Exchange exchange, String reason) {
+        reject(exchange, HttpResponseStatus.SERVICE_UNAVAILABLE, "too many connections");
     }
 
     @Override
-    public void reject(Exchange e, HttpResponseStatus status, String fault) {
+    public void reject(Exchange exchange, HttpResponseStatus status, String reason) {
         counters.add("store.requests.bad");
-        e.reply(status, "text/plain", fault + "\n", Map.of());
+        exchange.reply(status, "text/plain", reason + "\n", Map.of());
     }
 }
--- a/coordinator/src/main/java/burlford/store/VersionedMap.java
+++ b/coordinator/src/main/java/burlford/store/VersionedMap.java
@@ -10,27 +10,28 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The state every member comes to by the same writes in the same order; written and read as JSON text. */
+/** The replicated state: members that apply the same writes in the same order reach the same state. Encoded as JSON. */
 final class VersionedMap {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Map<String, Entry> entries = new TreeMap<>();
 
-    static String encodeWrite(String key, long from, String value) {
-        return JSON.createObjectNode().put("key", key).put("from", from).put("value", value).toString();
+    static String encodeWrite(String key, long expectedVersion, String value) {
+        return JSON.createObjectNode().put("key", key).put("from", expectedVersion).put("value", value).toString();
     }
 
+    /** Key and result of an applied write. */
     record ApplyResult(String key, WriteResult writeResult) { }
 
     ApplyResult apply(String write) {
-        JsonNode w = tree(write);
-        String key = w.get("key").textValue();
-        Entry was = entries.get(key);
-        long version = was == null ? 0 : was.version();
-        if (w.get("from").longValue() != version) {
+        JsonNode operation = parseJson(write);
+        String key = operation.get("key").textValue();
+        Entry current = entries.get(key);
+        long version = current == null ? 0 : current.version();
+        if (operation.get("from").longValue() != version) {
             return new ApplyResult(key, new WriteResult(Outcome.STALE, version, "the key is at version " + version));
         }
-        entries.put(key, new Entry(version + 1, w.get("value").textValue()));
+        entries.put(key, new Entry(version + 1, operation.get("value").textValue()));
         return new ApplyResult(key, new WriteResult(Outcome.STORED, version + 1, ""));
     }
 
@@ -39,18 +40,18 @@
     }
 
     String snapshot() {
-        ObjectNode all = JSON.createObjectNode();
-        entries.forEach((k, e) -> all.putObject(k).put("version", e.version()).put("value", e.value()));
-        return all.toString();
+        ObjectNode root = JSON.createObjectNode();
+        entries.forEach((k, e) -> root.putObject(k).put("version", e.version()).put("value", e.value()));
+        return root.toString();
     }
 
     void restore(String snapshot) {
         entries.clear();
-        tree(snapshot).properties().forEach(e -> entries.put(e.getKey(),
+        parseJson(snapshot).properties().forEach(e -> entries.put(e.getKey(),
                 new Entry(e.getValue().get("version").longValue(), e.getValue().get("value").textValue())));
     }
 
-    private static JsonNode tree(String text) {
+    private static JsonNode parseJson(String text) {
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
--- a/coordinator/src/main/java/burlford/store/package-info.java
+++ b/coordinator/src/main/java/burlford/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The replicated store: its log, its members' wire, and the operators' door to it. May use {@code clients} and
- * {@code core}.
+ * The replicated store: its log file, the transport between its members, and the operators' HTTP front. May use
+ * {@code clients} and {@code core}.
  */
 package burlford.store;
--- a/coordinator/src/test/java/burlford/inventory/InventoryTest.java
+++ b/coordinator/src/test/java/burlford/inventory/InventoryTest.java
@@ -30,21 +30,21 @@
             """;
 
     @Test
-    void variablesComeFromTheNearestGroup() throws Exception {
-        Inventory read = Inventory.parse(YAML, false, 2);
-        assertThat(read.readerEntries()).containsExactly(
+    void innermostGroupOverridesVariables() throws Exception {
+        Inventory inventory = Inventory.parse(YAML, false, 2);
+        assertThat(inventory.readerEntries()).containsExactly(
                 new ReaderEntry("r1", "10.0.0.1", 5000, "hall", 0, Status.READY, 1, 0),
                 new ReaderEntry("r2", "10.0.0.2", 5000, "hall", 0, Status.DRAINING, 1.5, 0),
                 new ReaderEntry("r3", "10.0.0.3", 5000, "hall", 1, Status.READY, 1, 0));
-        assertThat(read.hosts()).extracting(h -> h.group() + " " + h.variables().get("rack"))
+        assertThat(inventory.hosts()).extracting(h -> h.group() + " " + h.variables().get("rack"))
                 .containsExactly("north 8", "north_spare 8", "south null");
     }
 
     @Test
-    void bothFormsRoundTrip() throws Exception {
-        Inventory read = Inventory.parse(YAML, false, 2);
-        assertThat(Inventory.parse(read.format(false), false, 2)).isEqualTo(read);
-        assertThat(Inventory.parse(read.format(true), true, 2)).isEqualTo(read);
+    void csvAndYamlRoundTrip() throws Exception {
+        Inventory inventory = Inventory.parse(YAML, false, 2);
+        assertThat(Inventory.parse(inventory.format(false), false, 2)).isEqualTo(inventory);
+        assertThat(Inventory.parse(inventory.format(true), true, 2)).isEqualTo(inventory);
     }
 
     @ParameterizedTest
@@ -56,14 +56,14 @@
         "r1,10.0.0.1,1,0;r2,10.0.0.2,1,-1 | line 3: host r2 has a bad cell (0 to 1): -1",
         "r1,10.0.0.1,1, | line 2: host r1 has a bad cell (0 to 1): null",
         "r1,10.0.0.1 | line 2: 2 values under 4 columns"})
-    void csvFaultsNameTheirLine(String rows, String fault) {
+    void csvErrorsNameTheirLine(String rows, String message) {
         String text = "id,ansible_host,ansible_port,cell\n" + rows.replace(';', '\n') + "\n";
         assertThatThrownBy(() -> Inventory.parse(text, true, 2)).isInstanceOf(Inventory.InvalidInventoryException.class)
-                .hasMessage(fault);
+                .hasMessage(message);
     }
 
     @Test
-    void yamlFaultsNameTheirLine() {
+    void yamlErrorsNameTheirLine() {
         assertThatThrownBy(() -> Inventory.parse(YAML.replace("r3:", "r1:"), false, 2))
                 .hasMessage("line 14: duplicate id r1, first on line 7");
         assertThatThrownBy(() -> Inventory.parse(YAML.replace("cell: 1", "cell: x"), false, 2))
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aHeaderIsNeeded() throws IOException {
+    void csvRequiresAHeaderWithAllColumns() throws IOException {
         assertThatThrownBy(() -> Inventory.parse("id,ansible_host,cell\n", true, 2))
                 .hasMessage("line 1: the header lacks the column ansible_port");
         assertThatThrownBy(() -> Inventory.parse("", true, 2)).hasMessage("line 1: there is no header row");
--- a/coordinator/src/test/java/burlford/store/FailingChannel.java
+++ b/coordinator/src/test/java/burlford/store/FailingChannel.java
@@ -9,12 +9,12 @@
 import java.nio.channels.WritableByteChannel;
 import java.util.Arrays;
 
-/** A file whose writes and syncs fail when told to; a failed sync forgets what was written since the last good one. */
+/** File whose writes and syncs fail on demand; a failed sync zeroes all that was appended since the last good sync. */
 final class FailingChannel extends FileChannel {
 
     private final FileChannel file;
     private byte[] synced;
-    /** The next write fails behind so many bytes; negative: it does not. */
+    /** The next write fails after so many bytes; negative: it succeeds. */
     int failWriteAfterBytes = -1;
     boolean syncFails;
 
@@ -47,9 +47,9 @@
             synced = content();
             return;
         }
-        byte[] lost = content();
-        if (lost.length > synced.length) {
-            byte[] zeros = new byte[lost.length - synced.length];
+        byte[] current = content();
+        if (current.length > synced.length) {
+            byte[] zeros = new byte[current.length - synced.length];
             Arrays.fill(zeros, (byte) 0);
             file.write(ByteBuffer.wrap(zeros), synced.length);
         }
--- a/coordinator/src/test/java/burlford/store/LogFileTest.java
+++ b/coordinator/src/test/java/burlford/store/LogFileTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The log where writes and syncs fail for a while. */
+/** The log file after writes and syncs that failed. */
 class LogFileTest {
 
     @TempDir
     Path directory;
     private Path path;
-    private FailingChannel file;
+    private FailingChannel channel;
     private LogFile log;
 
     @BeforeEach
     void open() throws IOException {
         path = directory.resolve("n0.log");
         log = new LogFile(path, p -> {
-            file = new FailingChannel(FileChannel.open(p, StandardOpenOption.CREATE, StandardOpenOption.READ,
+            channel = new FailingChannel(FileChannel.open(p, StandardOpenOption.CREATE, StandardOpenOption.READ,
                     StandardOpenOption.WRITE));
-            return file;
+            return channel;
         });
         log.persistAndFlushLocalEndpoint(new DefaultRaftModelFactory().createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new Member("n0")).setVoting(true).build());
@@ -43,33 +43,36 @@
                 .setOperation(VersionedMap.encodeWrite("key" + index, 0, "value")).build();
     }
 
-    /** The indexes that a member finds which starts on the file as it is. */
-    private List<Long> found() throws IOException {
-        try (LogFile again = new LogFile(path)) {
-            return again.restoredState().getLogEntries().stream().map(LogEntry::getIndex).toList();
+    /** The indexes of the log entries that a member restores when it starts with the present file. */
+    private List<Long> restoredIndexes() throws IOException {
+        try (LogFile reopened = new LogFile(path)) {
+            return reopened.restoredState().getLogEntries().stream().map(LogEntry::getIndex).toList();
         }
     }
 
-    /** Guards against believing on disk what only a failed sync covered: the next good one did not write it again. */
+    /**
+     * Guards against the loss of records whose sync failed: the operating system may have discarded them, and the next
+     * successful sync alone does not bring them back.
+     */
     @Test
-    void whatAFailedSyncCoveredIsWrittenAgain() throws IOException {
+    void recordsOfAFailedSyncAreWrittenAgain() throws IOException {
         log.persistLogEntries(List.of(entry(1)));
-        file.syncFails = true;
+        channel.syncFails = true;
         assertThatThrownBy(log::flush).isInstanceOf(IOException.class);
-        file.syncFails = false;
+        channel.syncFails = false;
         log.persistLogEntries(List.of(entry(2)));
         log.flush();
-        assertThat(found()).containsExactly(1L, 2L);
+        assertThat(restoredIndexes()).containsExactly(1L, 2L);
     }
 
-    /** Guards against a write that failed half-way and made the file unreadable for the next start. */
+    /** Guards against a partial record, left by a failed write, that makes the file unreadable at the next start. */
     @Test
-    void whatAFailedWriteLeftIsCutOff() throws IOException {
+    void partialRecordOfAFailedWriteIsTruncated() throws IOException {
         log.persistLogEntries(List.of(entry(1)));
-        file.failWriteAfterBytes = 20;
+        channel.failWriteAfterBytes = 20;
         assertThatThrownBy(() -> log.persistLogEntries(List.of(entry(2)))).isInstanceOf(IOException.class);
         log.persistLogEntries(List.of(entry(2)));
         log.flush();
-        assertThat(found()).containsExactly(1L, 2L);
+        assertThat(restoredIndexes()).containsExactly(1L, 2L);
     }
 }
--- a/coordinator/src/test/java/burlford/store/ReplicatedStoreTest.java
+++ b/coordinator/src/test/java/burlford/store/ReplicatedStoreTest.java
@@ -27,17 +27,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three members on loopback, driven by one event loop that the test turns. */
+/** Three members on loopback, on one event loop that the test runs by hand. */
 class ReplicatedStoreTest {
 
-    private static final long PATIENCE_S = 60;
+    private static final long TIMEOUT_S = 60;
 
     @TempDir
     private Path directory;
     private final ManualIoEventLoop loop = new ManualIoEventLoop(Thread.currentThread(), NioIoHandler.newFactory());
-    private final Timers deadlines = new Timers();
+    private final Timers timers = new Timers();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, ReplicatedStore> up = new LinkedHashMap<>();
+    private final Map<String, ReplicatedStore> runningStores = new LinkedHashMap<>();
 
     @BeforeEach
     void start() throws IOException {
@@ -53,66 +53,66 @@
 
     @AfterEach
     void stop() {
-        up.values().forEach(ReplicatedStore::close);
-        turn();
+        runningStores.values().forEach(ReplicatedStore::close);
+        runEventLoop();
     }
 
     private void start(String name) throws IOException {
         ReplicatedStore store = new ReplicatedStore(loop, new Bootstrap().group(loop).channel(NioSocketChannel.class),
-                deadlines, () -> System.nanoTime() / 1000, name, directory, addresses);
+                timers, () -> System.nanoTime() / 1000, name, directory, addresses);
         ChannelFuture bound = store.start(new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class),
                 addresses.get(name));
         await(bound::isDone);
         assertThat(bound.isSuccess()).isTrue();
-        up.put(name, store);
+        runningStores.put(name, store);
     }
 
     private void stop(String name) {
-        up.remove(name).close();
-        turn();
+        runningStores.remove(name).close();
+        runEventLoop();
     }
 
-    private void turn() {
+    private void runEventLoop() {
         loop.run(5_000_000);
-        deadlines.runDue(System.nanoTime() / 1000);
+        timers.runDue(System.nanoTime() / 1000);
     }
 
     private void await(BooleanSupplier condition) {
-        long until = System.nanoTime() + PATIENCE_S * 1_000_000_000;
+        long deadlineNs = System.nanoTime() + TIMEOUT_S * 1_000_000_000;
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("waited too long").isLessThan(until);
-            turn();
+            assertThat(System.nanoTime()).as("waited too long").isLessThan(deadlineNs);
+            runEventLoop();
         }
     }
 
-    /** All that are up agree on one of them that leads. */
+    /** Waits until all running members agree on a leader that is running, and returns its name. */
     private String leader() {
         String[] leader = new String[1];
         await(() -> {
-            leader[0] = up.values().iterator().next().leader();
-            return leader[0] != null && up.containsKey(leader[0])
-                    && up.values().stream().allMatch(s -> leader[0].equals(s.leader()));
+            leader[0] = runningStores.values().iterator().next().leader();
+            return leader[0] != null && runningStores.containsKey(leader[0])
+                    && runningStores.values().stream().allMatch(s -> leader[0].equals(s.leader()));
         });
         return leader[0];
     }
 
-    private Store.WriteResult put(String member, long from, String value) {
-        Store.WriteResult[] written = new Store.WriteResult[1];
-        up.get(member).put("k", from, value, w -> written[0] = w);
-        await(() -> written[0] != null);
-        return written[0];
+    private Store.WriteResult put(String member, long expectedVersion, String value) {
+        Store.WriteResult[] result = new Store.WriteResult[1];
+        runningStores.get(member).put("k", expectedVersion, value, w -> result[0] = w);
+        await(() -> result[0] != null);
+        return result[0];
     }
 
     private void awaitEverywhere(long version, String value) {
-        await(() -> up.values().stream().allMatch(s -> new Store.Entry(version, value).equals(s.get("k"))));
+        await(() -> runningStores.values().stream().allMatch(s -> new Store.Entry(version, value).equals(s.get("k"))));
     }
 
     private String follower(String leader) {
-        return up.keySet().stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
+        return runningStores.keySet().stream().filter(m -> !m.equals(leader)).findFirst().orElseThrow();
     }
 
     @Test
-    void writesReachAllAndStaleOnesAreRejected() {
+    void writesReachAllMembersAndStaleWritesAreRejected() {
         String leader = leader();
         assertThat(put(leader, 0, "one")).isEqualTo(new Store.WriteResult(Store.Outcome.STORED, 1, ""));
         awaitEverywhere(1, "one");
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void anotherLeadsWhenTheLeaderIsLostAndALaggingMemberCatchesUp() throws IOException {
+    void newLeaderIsElectedWhenLeaderIsLostAndLaggingMemberCatchesUp() throws IOException {
         String first = leader();
         put(first, 0, "one");
         awaitEverywhere(1, "one");
@@ -135,18 +135,18 @@
     }
 
     @Test
-    void withoutAMajorityWritesAreRefused() {
+    void writesAreRefusedWithoutMajority() {
         String leader = leader();
         put(leader, 0, "one");
         awaitEverywhere(1, "one");
         stop(follower(leader));
         stop(follower(leader));
         assertThat(put(leader, 1, "two").outcome()).isEqualTo(Store.Outcome.REFUSED);
-        assertThat(up.get(leader).get("k")).as("reads go on").isEqualTo(new Store.Entry(1, "one"));
+        assertThat(runningStores.get(leader).get("k")).as("reads go on").isEqualTo(new Store.Entry(1, "one"));
     }
 
     @Test
-    void aTornTailIsCutOffAndDamageElsewhereStopsTheStart() throws IOException {
+    void incompleteLastRecordIsTruncatedAndDamageElsewherePreventsStart() throws IOException {
         String leader = leader();
         put(leader, 0, "one");
         awaitEverywhere(1, "one");
